--- a/reachtally-relay/src/accept.rs
+++ b/reachtally-relay/src/accept.rs
@@ -1,14 +1,14 @@
-//! Taking connections.
+//! Accepts connections on a listener.
 
 use std::net::SocketAddr;
 use std::time::Duration;
 
 use tokio::net::{TcpListener, TcpStream};
 
-/// Pause after a failed accept, which is most often a lack of descriptors.
+/// Pause after a failed accept, which is most often caused by a lack of file descriptors.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
 
-/// Serve each connection by a task of its own until the process ends; `name` is for the log.
+/// Serves each connection in its own task until the process exits; `name` identifies the listener in the log.
 pub(crate) async fn each<F>(
     listener: TcpListener,
     name: &'static str,
@@ -22,7 +22,7 @@
                 tokio::task::spawn_local(serve(stream, from));
             }
             Err(err) => {
-                log::warn!(event = "accept-failed", listener = name, why:% = err; "a connection was not taken");
+                log::warn!(event = "accept-failed", listener = name, why:% = err; "failed to accept a connection");
                 tokio::time::sleep(ACCEPT_PAUSE).await;
             }
         }
--- a/reachtally-relay/src/answer.rs
+++ b/reachtally-relay/src/answer.rs
@@ -1,4 +1,4 @@
-//! Answers that the relay gives itself.
+//! Responses that the relay generates itself.
 
 use std::time::Duration;
 
@@ -10,46 +10,46 @@
 use std::pin::Pin;
 use std::sync::Arc;
 
-/// Why a body ended before it was whole. The connection is closed, so that the caller sees it.
+/// Error of a response body that ended early. The connection is closed so that the caller notices.
 #[derive(Debug)]
 pub struct CutShort;
 
 impl std::fmt::Display for CutShort {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        f.write_str("the answer broke off")
+        f.write_str("the response ended before it was complete")
     }
 }
 
 impl std::error::Error for CutShort {}
 
-/// The id of the request that an answer belongs to, kept with the answer for the log.
+/// Id of the request that a response belongs to. It is attached to the response for the log.
 #[derive(Debug, Clone)]
 pub struct AnswerTo(pub Arc<str>);
 
-/// The body of an answer.
+/// Body of a response.
 pub type Body = Pin<Box<dyn hyper::body::Body<Data = Bytes, Error = CutShort>>>;
 
-/// Part of the time that the caller has left after which it should come back, on average: engines
-/// that are full or being repaired need a second or two, and callers follow up to a third.
+/// Average `Retry-After` as a fraction of the caller's remaining time. Engines that are full or under repair
+/// need a second or two, and callers follow up to a third.
 const RETURN_SHARE: f64 = 0.08;
-/// Longest time to come back.
+/// Maximum of this `Retry-After`, before jitter.
 const LATEST_RETURN: Duration = Duration::from_secs(3);
-/// Time to come back where the box waits for the store or is stopping: another box takes the retry.
+/// `Retry-After` of a box that waits for the store or is stopping: another box handles the retry.
 const ELSEWHERE: Duration = Duration::from_millis(50);
 
-/// A body held whole.
+/// Returns a body with the given bytes.
 pub fn whole(bytes: impl Into<Bytes>) -> Body {
     Box::pin(Full::new(bytes.into()).map_err(|never| match never {}))
 }
 
-/// An answer of the relay's own.
+/// Returns a plain-text response.
 pub fn plain(status: StatusCode, text: &str) -> Response<Body> {
     let mut response = Response::new(whole(format!("{text}\n")));
     *response.status_mut() = status;
     response
 }
 
-/// An answer after which the connection closes, since what follows on it can't be trusted.
+/// Returns a plain-text response that closes the connection, since the data that follows on it can't be trusted.
 pub fn closing(status: StatusCode, text: &str) -> Response<Body> {
     let mut response = plain(status, text);
     response
@@ -58,8 +58,9 @@
     response
 }
 
-/// The final answer to a request that was given up. The caller has `left`, targets that can serve it are backed off from for
-/// `back_off`, and `draw` spreads the returns of callers.
+/// Returns the final response to a request that was given up. `left` is the time until the caller's deadline,
+/// `back_off` the time until targets that can serve the request leave back-off, and `draw` adds jitter to
+/// `Retry-After`.
 pub fn given_up(
     end: &GivenUp,
     left: Duration,
@@ -89,14 +90,14 @@
     let mut response = plain(StatusCode::SERVICE_UNAVAILABLE, &text);
     let base = match not_run.refusal() {
         Refusal::Stopping | Refusal::Paused => ELSEWHERE,
-        // Whoever came back would be refused again.
+        // An earlier retry would be refused again.
         Refusal::Quarantined => left,
-        // The schedule of returns has spread them already.
+        // The retry schedule already spreads these callers.
         Refusal::Shed => Duration::ZERO,
         _ => left.mul_f64(RETURN_SHARE).min(LATEST_RETURN),
     };
     let spread = (draw % 1000) as f64 / 1000.0;
-    // A caller that came back before the end of the back-off would be refused again.
+    // A retry before the end of the back-off would be refused again.
     let after = match back_off {
         Some(back_off) => back_off + base.mul_f64(spread),
         None => base.mul_f64(0.5 + spread),
--- a/reachtally-relay/src/configuration.rs
+++ b/reachtally-relay/src/configuration.rs
@@ -1,4 +1,4 @@
-//! The configuration in force, as it was published, and how old it may be.
+//! The current configuration, its published form, and its freshness.
 
 use std::cell::{Cell, RefCell};
 use std::sync::Arc;
@@ -9,36 +9,36 @@
 use reachtally_core::forward::freshness::Freshness;
 use reachtally_core::forward::routes::Table;
 
-/// The configuration in force. Its version only rises.
+/// The current configuration. Its version only increases.
 #[derive(Debug, Default)]
 pub struct Configuration {
     table: RefCell<Option<Arc<Table>>>,
-    /// As it was published, packed, for other boxes.
+    /// Published form, packed, for other boxes.
     published: RefCell<Bytes>,
     freshness: Cell<Freshness>,
 }
 
 impl Configuration {
-    /// The one in force.
+    /// Returns the current configuration.
     pub fn table(&self) -> Option<Arc<Table>> {
         self.table.borrow().clone()
     }
 
-    /// Its version; 0 for none.
+    /// Returns the current version, 0 if there is no configuration.
     pub fn version(&self) -> u64 {
         let table = self.table.borrow();
         table.as_ref().map_or(0, |table| table.version)
     }
 
-    /// The one in force as it was published, packed.
+    /// Returns the published form of the current configuration, packed.
     pub fn published(&self) -> Bytes {
         self.published.borrow().clone()
     }
 
-    /// Put a configuration in force; yields whether it is newer than the one held, which stays otherwise.
+    /// Replaces the configuration if `table` is newer; returns whether it was replaced.
     ///
     /// # Errors
-    /// It can't be packed; the one held stays.
+    /// Returns a description of the problem and keeps the current configuration if packing fails.
     pub(crate) fn replace(
         &self,
         table: Table,
@@ -55,19 +55,19 @@
         Ok(true)
     }
 
-    /// Note that a read which began at `began` showed no newer configuration.
+    /// Records that a read that began at `began` found no newer configuration.
     pub fn confirm(&self, began: Instant) {
         let mut freshness = self.freshness.get();
         freshness.confirm(began);
         self.freshness.set(freshness);
     }
 
-    /// Time since the read that last confirmed it.
+    /// Returns the time since the start of the read that last confirmed the configuration.
     pub fn age(&self, now: Instant) -> Option<Duration> {
         self.freshness.get().age(now)
     }
 
-    /// Whether it was confirmed so lately that keyed requests may be judged by it.
+    /// Returns whether the configuration was confirmed recently enough to authorize requests by key.
     pub fn is_fresh(&self, now: Instant, within: Option<Duration>) -> bool {
         within.is_none_or(|within| self.freshness.get().holds(now, within))
     }
--- a/reachtally-relay/src/connections.rs
+++ b/reachtally-relay/src/connections.rs
@@ -1,7 +1,7 @@
-//! Connections to engines that are kept for a moment after a whole answer.
+//! Pool of idle connections to engines, for reuse shortly after a complete response.
 //!
-//! Only requests that may run twice go over them: a connection may have been closed meanwhile, or a surplus
-//! answer may come first.
+//! Only repeatable requests use them: a pooled connection may have been closed in the meantime, or may
+//! deliver a surplus response first.
 
 use std::cell::RefCell;
 use std::net::SocketAddr;
@@ -11,7 +11,8 @@
 
 use crate::target::Connection;
 
-/// How long a connection is kept: most streams find one then. Engines close theirs later.
+/// Time for which an idle connection is kept. With it, most streams find one; engines close idle connections
+/// later.
 const KEPT_FOR: Duration = Duration::from_secs(3);
 
 struct Kept {
@@ -19,14 +20,14 @@
     since: Instant,
 }
 
-/// The connections that are kept, oldest first.
+/// The pool of idle connections, oldest first.
 #[derive(Default)]
 pub struct Connections {
     kept: RefCell<Vec<Kept>>,
 }
 
 impl Connections {
-    /// Keep a connection whose answer is over.
+    /// Adds a connection whose last response is complete.
     pub fn keep(&self, connection: Connection, now: Instant) {
         let mut kept = self.kept.borrow_mut();
         kept.retain(|old| now.since(old.since) < KEPT_FOR);
@@ -36,7 +37,7 @@
         });
     }
 
-    /// The connection to `address` that was of use last.
+    /// Takes the most recently used connection to `address`.
     pub fn take(&self, address: SocketAddr, now: Instant) -> Option<Connection> {
         let mut kept = self.kept.borrow_mut();
         kept.retain(|old| now.since(old.since) < KEPT_FOR);
--- a/reachtally-relay/src/eras.rs
+++ b/reachtally-relay/src/eras.rs
@@ -1,4 +1,4 @@
-//! The store's era as this box learns of it, from answers and from other boxes.
+//! Tracks the era of the store, as named by its responses and reported by other boxes.
 
 use std::time::Duration;
 
@@ -9,28 +9,28 @@
 use crate::store::{Feed, StoreError};
 
 impl Relay {
-    /// The era of an answer of the store to a call that began at `began`.
+    /// Returns the era of a store response to a call that began at `began`.
     ///
     /// # Errors
-    /// [`StoreError::Outdated`] for a late answer of an earlier era.
+    /// [`StoreError::Outdated`] for a late response of an earlier era.
     pub(crate) fn era_of(&self, told: Option<Era>, began: Instant) -> Result<Era, StoreError> {
         let before = self.eras.get();
         let mut eras = before;
         let era = eras.of_answer(told, began, self.now());
         self.eras.set(eras);
         if before.held() != eras.held() {
-            log::warn!(event = "store-era", era = eras.held().0, before = before.held().0, named:? = told.map(|era| era.0); "the store is in another era: what was held by offset is read anew");
+            log::warn!(event = "store-era", era = eras.held().0, before = before.held().0, named:? = told.map(|era| era.0); "the era of the store changed; reading again all data that is tracked by offset");
         }
         era.map_err(|Outdated| {
-            log::info!(event = "store-outdated", named:? = told.map(|era| era.0), held = eras.held().0; "a late answer of an earlier era changes nothing");
+            log::info!(event = "store-outdated", named:? = told.map(|era| era.0), held = eras.held().0; "ignored a late store response of an earlier era");
             StoreError::Outdated
         })
     }
 
-    /// Where to read on after a read that began at `began`.
+    /// Returns the position after a read that began at `began`.
     ///
     /// # Errors
-    /// [`StoreError::Outdated`] for a late answer of an earlier era.
+    /// [`StoreError::Outdated`] for a late response of an earlier era.
     pub(crate) fn position_after<T>(
         &self,
         feed: &Feed<T>,
@@ -42,27 +42,28 @@
         })
     }
 
-    /// Another box tells of the store's era, and how long ago the store came back into it, if it did.
+    /// Merges the store's era as reported by another box. `age` is the time since the store was restored into
+    /// this era, if it was restored.
     pub(crate) fn hear_era(&self, told: Era, age: Option<Duration>) {
         let mut eras = self.eras.get();
-        let is_news = match age {
+        let is_changed = match age {
             Some(age) => eras.hear_of_return(told, self.now().before(age)),
             None => eras.hear(told, Some(self.now())),
         };
         self.eras.set(eras);
-        if is_news {
-            log::info!(event = "store-era", era = told.0; "another box told of the store's era");
+        if is_changed {
+            log::info!(event = "store-era", era = told.0; "another box reported a new era of the store");
         }
     }
 
-    /// Note that the operator wrote a configuration in this era.
+    /// Records that the operator wrote a configuration in `era`.
     pub(crate) fn note_configured(&self, era: Era) {
         self.configured_in.set(Some(era));
     }
 
-    /// Whether the store's copy may lack a configuration that was acknowledged. Until the operator wrote again, or had time to,
-    /// a read confirms nothing then: a key that was taken away in the lost seconds would go on working for longer than
-    /// allowed.
+    /// Returns whether the store was restored from a backup that may lack an acknowledged configuration. Until
+    /// the operator has written again, or has had time to, reads then confirm nothing: a key revoked in the lost
+    /// seconds would otherwise keep working for longer than allowed.
     pub(crate) fn may_lack_configuration(&self) -> bool {
         let eras = self.eras.get();
         let is_written = self.configured_in.get() == Some(eras.held());
--- a/reachtally-relay/src/events.rs
+++ b/reachtally-relay/src/events.rs
@@ -1,24 +1,24 @@
-//! Splits a stream of server-sent events, so that only whole events are passed on.
+//! Splits a stream of server-sent events into complete events.
 
 use bytes::{Bytes, BytesMut};
 
-/// Whole events as they came, without those that the caller already has.
+/// Extracts complete events from a byte stream and drops those that the caller already has.
 #[derive(Debug, Default)]
 pub struct Splitter {
     buf: BytesMut,
-    /// Id of the last event passed on.
+    /// Id of the last event that was passed on.
     last: Option<u64>,
 }
 
-/// An event is longer than any that engines send.
+/// Error for an event longer than any that engines send.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct TooLong;
 
-/// Most bytes of one event; engines send some hundred.
+/// Maximum size of an event in bytes; engines send events of some hundred.
 const LONGEST_EVENT: usize = 256 * 1024;
 
 impl Splitter {
-    /// Go on after the event `last`.
+    /// Creates a splitter that resumes after event `last`.
     pub fn after(last: Option<u64>) -> Self {
         Splitter {
             buf: BytesMut::new(),
@@ -26,25 +26,25 @@
         }
     }
 
-    /// Id of the last event passed on, or the one that the caller had before.
+    /// Returns the id of the last event that was passed on, or that the caller had before.
     pub fn last(&self) -> Option<u64> {
         self.last
     }
 
-    /// Whether part of an event waits for its rest.
+    /// Returns whether an incomplete event is buffered.
     pub fn has_part(&self) -> bool {
         !self.buf.is_empty()
     }
 
-    /// Drop a part of an event; what follows comes from another run.
+    /// Discards an incomplete event, since the bytes that follow come from another run.
     pub fn restart(&mut self) {
         self.buf.clear();
     }
 
-    /// Take in bytes; yields the events that are whole now and new to the caller.
+    /// Adds bytes; returns the events that are now complete and new to the caller.
     ///
     /// # Errors
-    /// [`TooLong`] if an event does not end.
+    /// [`TooLong`] if an incomplete event exceeds the maximum size.
     pub fn push(&mut self, bytes: &[u8]) -> Result<Bytes, TooLong> {
         self.buf.extend_from_slice(bytes);
         let mut out = BytesMut::new();
@@ -69,14 +69,14 @@
     }
 }
 
-/// Where the first event ends, past its blank line.
+/// Returns the end of the first event, after its blank line.
 fn event_end(buf: &[u8]) -> Option<usize> {
     buf.windows(2)
         .position(|pair| pair == b"\n\n")
         .map(|at| at + 2)
 }
 
-/// The `id` field of an event.
+/// Parses the `id` field of an event.
 fn event_id(event: &[u8]) -> Option<u64> {
     let line = event
         .split(|byte| *byte == b'\n')
--- a/reachtally-relay/src/exchange.rs
+++ b/reachtally-relay/src/exchange.rs
@@ -1,4 +1,4 @@
-//! What requests with one body and requests for streams share of an exchange with a target.
+//! Request and response handling shared by plain requests and streams.
 
 use std::net::SocketAddr;
 
@@ -15,32 +15,32 @@
 use crate::target::DialError;
 use crate::wire::{Addition, AnswerHead, LimitHeader};
 
-/// Why a send yielded no answer that can be passed on.
+/// Reason why a send yielded no response that can be passed on.
 pub(crate) enum Unanswered {
-    /// Proven that nothing ran.
+    /// The request provably did not run.
     NotRun(NeverStarted, String),
-    /// It may have run.
+    /// The request may have run.
     Lost(String),
-    /// It took until the final answer was due.
+    /// The final response was due before the send completed.
     Late,
 }
 
-/// Statuses that promise callers that nothing ran. Without a target's proof they are not passed on.
+/// Statuses that tell callers that the request did not run. They are passed on only with a target's proof.
 const PROMISES: [u16; 4] = [408, 421, 429, 503];
 
-/// The target of a send. Its row may go while the send is under way.
+/// Target of a send. Its row may be removed while the send is in progress.
 pub(crate) struct Recipient {
     pub key: EngineKey,
-    /// Where it listens.
+    /// Address that it listens on.
     pub address: SocketAddr,
     pub run: TargetRun,
 }
 
-/// The target in row `key`.
+/// Returns the target in row `key`.
 pub(crate) fn recipient(relay: &Relay, key: EngineKey) -> Result<Recipient, Unanswered> {
     let fleet = relay.fleet.borrow();
     let Some(engine) = fleet.get(key) else {
-        let why = "the target is gone".to_owned();
+        let why = "the target has been removed".to_owned();
         return Err(Unanswered::NotRun(NeverStarted::ConnectFailed, why));
     };
     Ok(Recipient {
@@ -50,7 +50,7 @@
     })
 }
 
-/// No connection to a target came about.
+/// Records a failure to connect to a target.
 pub(crate) fn not_connected(relay: &Relay, key: EngineKey, why: &DialError) -> Unanswered {
     match why {
         DialError::Refused(_) => relay.target_dead(key),
@@ -59,7 +59,7 @@
     Unanswered::NotRun(NeverStarted::ConnectFailed, why.to_string())
 }
 
-/// The request as a target gets it.
+/// Returns the request to send to a target.
 pub(crate) fn request(relay: &Relay, call: &Call, add: &Addition<'_>) -> Request<Full<Bytes>> {
     let mut req = Request::new(Full::new(call.body.clone()));
     *req.method_mut() = call.parts.method.clone();
@@ -68,7 +68,7 @@
     req
 }
 
-/// The target of the request line as a server expects it: path and query alone.
+/// Returns the request target in origin form: path and query only.
 fn origin_form(call: &Call) -> hyper::Uri {
     match call.parts.uri.path_and_query() {
         Some(path) => hyper::Uri::from(path.clone()),
@@ -76,8 +76,8 @@
     }
 }
 
-/// Decode an answer's head. The load that it tells, less what this box itself has there, and what the target asks of this
-/// box are kept.
+/// Decodes the head of a response. Records the reported load, less this box's own requests there, and the
+/// target's statement about itself.
 pub(crate) fn head_of(
     relay: &Relay,
     call: &Call,
@@ -103,40 +103,40 @@
     head
 }
 
-/// Whether the target itself made the answer, for this request.
+/// Returns whether the response was made by the target itself, and for this request.
 fn is_own(call: &Call, head: &AnswerHead) -> bool {
     let is_vouched = head.sealed || (head.not_run && !head.misdirected);
     is_vouched && is_answer_to(call, head)
 }
 
-/// Whether an answer proves that the target ran nothing of this request. A refusal may come from what stands before the target
-/// and reads no ids, so it may lack one.
+/// Returns whether a response proves that the target did not run this request. A refusal may lack the request
+/// id, since a component in front of the target that does not read ids may have sent it.
 pub(crate) fn proves_not_run(call: &Call, head: &AnswerHead) -> bool {
     head.not_run && (head.id.is_none() || is_answer_to(call, head))
 }
 
-/// Whether an answer carries the id of this request.
+/// Returns whether a response carries the id of this request.
 fn is_answer_to(call: &Call, head: &AnswerHead) -> bool {
     head.id.as_deref() == Some(call.head.id.as_str())
 }
 
-/// Why an answer can't be the target's answer to this request, if so.
+/// Returns why a response cannot be accepted as the target's response to this request, if so.
 pub(crate) fn mistrust(
     call: &Call,
     head: &AnswerHead,
     response: &Response<Incoming>,
 ) -> Option<&'static str> {
     if !is_answer_to(call, head) {
-        return Some("the answer is another request's");
+        return Some("the response belongs to another request");
     }
     if !head.sealed {
-        return Some("the answer has no seal");
+        return Some("the response has no seal");
     }
     if PROMISES.contains(&response.status().as_u16()) {
-        return Some("the status would promise that nothing ran");
+        return Some("the status says that the request did not run, without proof");
     }
     if response.headers().contains_key(CONTENT_ENCODING) {
-        return Some("the answer is encoded");
+        return Some("the response has a content encoding");
     }
     None
 }
--- a/reachtally-relay/src/group.rs
+++ b/reachtally-relay/src/group.rs
@@ -1,4 +1,4 @@
-//! The group of boxes: who is in it, who is the steward, and when this box joins.
+//! Membership of this box in the group of boxes, and the steward role.
 
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -15,71 +15,71 @@
 use crate::relay::Relay;
 use crate::store::Store;
 
-/// How long a box stays in the group without a word.
+/// Time after which a member leaves the group unless it joins again.
 const MEMBER_TTL: Duration = Duration::from_secs(3);
-/// Time between two words to the group.
+/// Time between two joins of a member.
 const JOIN_INTERVAL: Duration = Duration::from_secs(1);
-/// Joins with a new generation after which the boxes are counted by one that reads the store: a change
-/// of the group is mostly one of several in a row, and a new box holds its part only once the others
-/// have joined again.
-const JOINS_AT_READER: u32 = 2;
-/// The same for a box that asks another, which should have told it by then.
-const JOINS_BESIDE: u32 = 5;
-
-/// Mbit/s times the time that a box with such a link waits before it joins for the first time: half a second
-/// with 200 Mbit/s, and with 20 as long as it takes until the group has missed earlier runs of those with
-/// wider links and lists the present ones.
-const LINK_DELAY: Duration = Duration::from_secs(100);
-/// Longest such time, about.
-const LONGEST_DELAY: Duration = Duration::from_secs(6);
-/// Least part of that time that a box waits; chance adds up to a half.
-const LEAST_DELAY: f64 = 0.9;
-/// Bandwidth of a link that the settings don't tell, in Mbit/s.
-const LINK_ASSUMED: u32 = 200;
-/// Different times of boxes with the same link.
+/// Number of joins with a new generation after which a box that reads the store counts the members. Changes
+/// of the group mostly come several in a row, and a new box gets its assignment only once the others have
+/// joined again.
+const JOINS_UNTIL_COUNT_DIRECT: u32 = 2;
+/// The same for a box that reads from another box, which normally sends it the members before that.
+const JOINS_UNTIL_COUNT_INDIRECT: u32 = 5;
+
+/// Delay of the first join times the link bandwidth in Mbit/s. A box with 200 Mbit/s waits half a second. One
+/// with 20 Mbit/s waits until the group has expired earlier runs of boxes with faster links and lists their
+/// current runs.
+const DELAY_TIMES_MBPS: Duration = Duration::from_secs(100);
+/// Approximate maximum of this delay.
+const MAX_DELAY: Duration = Duration::from_secs(6);
+/// Minimum fraction of the delay that a box waits; jitter adds up to one half.
+const MIN_DELAY_FRACTION: f64 = 0.9;
+/// Assumed link bandwidth in Mbit/s if the settings contain none.
+const ASSUMED_LINK_MBPS: u32 = 200;
+/// Number of different delays of boxes with the same bandwidth.
 const DELAY_STEPS: u64 = 1024;
 
-/// Taken off the time that the steward's part is held, for clocks that run at different rates and orders
-/// under way. It only saves refused orders: engines that check tokens are safe without it.
-const PART_MARGIN: Duration = Duration::from_millis(700);
+/// Subtracted from the time that the steward role is held, to allow for clock drift and orders in flight. It
+/// only avoids refused orders: engines that check fencing tokens are safe without it.
+const STEWARD_MARGIN: Duration = Duration::from_millis(700);
 
-/// This box's part, shared by the loops that get it and use it.
+/// Steward role of this box, shared by the task that acquires it and those that use it.
 pub type Part = Rc<RefCell<Stewardship>>;
 
-/// Stay in the group of boxes while this box is needed there, and count its members where no other box does.
+/// Keeps this box in the group while it is needed there, and counts the members if no other box does.
 ///
-/// A few boxes of each failure domain are in the group. The others cost the store nothing: they are told by
-/// those, and join when some of them are missing.
+/// A few boxes of each failure domain are members. The other boxes do not load the store: they receive their
+/// data from members, and join when some of these are missing.
 pub async fn run<S: Store>(relay: Rc<Relay>, store: S, part: Part, run: Incarnation) {
-    settle(&relay, &store, run).await;
-    let mut joining = Joining {
+    wait_for_faster_boxes(&relay, &store, run).await;
+    let mut membership = GroupMembership {
         relay,
         store,
         part,
         run,
-        is_in: false,
+        is_member: false,
         generation: Generation::default(),
-        behind: 0,
+        joins_since_change: 0,
         dependency: Dependency::new("group"),
     };
-    // At the start every box that is missed joins, later each with its chance.
-    let mut chance = 0.0;
-    while !joining.relay.lifecycle.is_leaving() {
-        let should_join = joining.should_join(chance).await;
-        chance = rand::random();
-        joining.enter(should_join);
-        let is_passed_on = joining.is_in && joining.join().await;
-        // The group deals the part to another box only once this one has joined under the new
-        // generation: a second without a steward saved at each change of the group.
-        if !is_passed_on {
+    // At startup every missing box joins, later each with a probability.
+    let mut probability = 0.0;
+    while !membership.relay.lifecycle.is_leaving() {
+        let should_join = membership.should_join(probability).await;
+        probability = rand::random();
+        membership.set_member(should_join);
+        let has_lost_role = membership.is_member && membership.join().await;
+        // The group assigns the role to another box only once this one has joined with the new generation.
+        // Joining at once avoids a second without a steward at each change of the group.
+        if !has_lost_role {
             sleep(JOIN_INTERVAL).await;
         }
     }
-    joining.part.borrow_mut().revoke();
+    membership.part.borrow_mut().revoke();
 }
 
-/// Wait until boxes with wider links are in the group, and learn of the group.
-async fn settle<S: Store>(relay: &Relay, store: &S, run: Incarnation) {
+/// Waits until boxes with faster links have joined, then reads the members.
+async fn wait_for_faster_boxes<S: Store>(relay: &Relay, store: &S, run: Incarnation) {
     let delay = {
         let settings = relay.settings.borrow();
         match settings.seeds.contains(&settings.ip) {
@@ -93,87 +93,90 @@
     }
 }
 
-/// How long a box waits before it may join for the first time: the longer the narrower its link, and each
-/// box a different time.
+/// Returns how long a box waits before it may join for the first time. The delay is inversely proportional to
+/// the link bandwidth and differs between boxes.
 fn start_delay(link_mbps: u32, run: Incarnation) -> Duration {
     let link_mbps = match link_mbps {
-        0 => LINK_ASSUMED,
+        0 => ASSUMED_LINK_MBPS,
         known => known,
     };
-    let usual = LINK_DELAY / link_mbps;
+    let usual = DELAY_TIMES_MBPS / link_mbps;
     let part = (run.0 % DELAY_STEPS) as f64 / DELAY_STEPS as f64;
-    usual.min(LONGEST_DELAY).mul_f64(LEAST_DELAY + part / 2.0)
+    usual
+        .min(MAX_DELAY)
+        .mul_f64(MIN_DELAY_FRACTION + part / 2.0)
 }
 
-/// A box's way into the group and out of it.
-struct Joining<S> {
+/// Membership state of this box.
+struct GroupMembership<S> {
     relay: Rc<Relay>,
     store: S,
     part: Part,
     run: Incarnation,
-    is_in: bool,
+    is_member: bool,
     generation: Generation,
-    /// Joins since the generation changed without a count.
-    behind: u32,
+    /// Joins since the generation changed without a new count of the members.
+    joins_since_change: u32,
     dependency: Dependency,
 }
 
-impl<S: Store> Joining<S> {
+impl<S: Store> GroupMembership<S> {
     fn with_view<T>(&self, f: impl FnOnce(&View<'_>) -> T) -> T {
         self.relay.look(self.run, &[], f)
     }
 
-    /// Whether this box should be in the group, given the members known.
-    async fn should_join(&self, chance: f64) -> bool {
-        if self.is_in {
+    /// Returns whether this box should be in the group, given the known members.
+    async fn should_join(&self, probability: f64) -> bool {
+        if self.is_member {
             return !self.with_view(|view| view.is_superfluous());
         }
         if self.with_view(|view| view.is_listed() && !view.is_superfluous()) {
             return true;
         }
         let boxes = self.relay.boxes();
-        let wanted = self.with_view(|view| view.chance_to_join(boxes));
-        wanted > chance && self.is_missed().await
+        let needed_probability = self.with_view(|view| view.chance_to_join(boxes));
+        needed_probability > probability && self.are_readers_missing().await
     }
 
-    /// Whether the store's own list lacks readers of this failure domain: what is known may be some seconds
-    /// old, and others may have joined meanwhile.
-    async fn is_missed(&self) -> bool {
+    /// Returns whether readers of this failure domain are missing from the member list in the store. The list
+    /// known here may be some seconds old, and others may have joined since.
+    async fn are_readers_missing(&self) -> bool {
         match self.store.members().await {
             Ok(members) => {
-                let is_missed = |view: &View<'_>| view.missing_readers() > 0;
-                self.relay.with_view_of(&members, self.run, &[], is_missed)
+                let are_readers_missing = |view: &View<'_>| view.missing_readers() > 0;
+                self.relay
+                    .with_view_of(&members, self.run, &[], are_readers_missing)
             }
             Err(err) => {
-                log::info!(event = "census-failed", why:% = err; "the members of the group were not read");
+                log::info!(event = "census-failed", why:% = err; "failed to read the members of the group; not joining");
                 false
             }
         }
     }
 
-    fn enter(&mut self, is_in: bool) {
-        if self.is_in != is_in {
-            log::info!(event = "group", member = is_in; "whether this box is in the group changed");
+    fn set_member(&mut self, is_member: bool) {
+        if self.is_member != is_member {
+            log::info!(event = "group", member = is_member; "membership of this box in the group changed");
         }
-        self.is_in = is_in;
-        if !is_in {
+        self.is_member = is_member;
+        if !is_member {
             self.part.borrow_mut().revoke();
         }
     }
 
-    /// The last generation heard of; 0 where the store is in another era than that was of.
-    fn heard(&self) -> u64 {
+    /// Returns the last known generation, or 0 if it belongs to another era of the store.
+    fn known_generation(&self) -> u64 {
         match self.generation.era == self.relay.eras.get().held() {
             true => self.generation.number,
             false => 0,
         }
     }
 
-    /// Join the group or stay in it; yields whether this box had the steward's part and has it no more.
+    /// Joins the group or renews the membership; returns whether this box just lost the steward role.
     async fn join(&mut self) -> bool {
         let began = self.relay.now();
-        let heard = self.heard();
-        let joined = self.store.join(MEMBER_TTL, heard).await;
+        let known_generation = self.known_generation();
+        let joined = self.store.join(MEMBER_TTL, known_generation).await;
         let dated = joined.and_then(|joined| Ok((joined, self.relay.era_of(joined.era, began)?)));
         let (membership, era) = match dated {
             Ok(dated) => dated,
@@ -187,42 +190,42 @@
             era,
             number: membership.generation,
         };
-        let is_passed_on = keep_part(&self.part, membership.is_steward, generation, began);
+        let has_lost_role = update_role(&self.part, membership.is_steward, generation, began);
         self.generation = generation;
-        self.behind = match self.relay.group_generation() < self.generation {
-            true => self.behind + 1,
+        self.joins_since_change = match self.relay.group_generation() < self.generation {
+            true => self.joins_since_change + 1,
             false => 0,
         };
         let is_first = self.relay.members.borrow().is_empty();
-        if is_first || is_count_due(&self.relay, self.behind) {
+        if is_first || is_count_due(&self.relay, self.joins_since_change) {
             count_boxes(&self.relay, &self.store, self.generation, is_first).await;
         }
-        is_passed_on
+        has_lost_role
     }
 }
 
-/// Take over what the group says of the steward's part; yields whether this box had it and has it no more.
-fn keep_part(part: &Part, is_steward: bool, generation: Generation, began: Instant) -> bool {
+/// Updates the steward role as assigned by the group; returns whether this box just lost it.
+fn update_role(part: &Part, is_steward: bool, generation: Generation, began: Instant) -> bool {
     let mut part = part.borrow_mut();
     let was_steward = part.permit(began).is_some();
-    let until = began + MEMBER_TTL.saturating_sub(PART_MARGIN);
+    let until = began + MEMBER_TTL.saturating_sub(STEWARD_MARGIN);
     match is_steward {
         true => part.grant(Token(generation), until),
         false => part.revoke(),
     }
     if was_steward != is_steward {
-        log::info!(event = "steward", is_steward = is_steward, generation = generation.number, era = generation.era.0; "the steward's part changed hands");
+        log::info!(event = "steward", is_steward = is_steward, generation = generation.number, era = generation.era.0; "steward role of this box changed");
     }
     was_steward && !is_steward
 }
 
-/// Whether this box should count the boxes, `behind` joins after their generation changed.
-fn is_count_due(relay: &Relay, behind: u32) -> bool {
-    let joins = match relay.is_direct() {
-        true => JOINS_AT_READER,
-        false => JOINS_BESIDE,
+/// Returns whether this box should count the members, `joins_since_change` joins after their generation changed.
+fn is_count_due(relay: &Relay, joins_since_change: u32) -> bool {
+    let min_joins = match relay.is_direct() {
+        true => JOINS_UNTIL_COUNT_DIRECT,
+        false => JOINS_UNTIL_COUNT_INDIRECT,
     };
-    behind >= joins
+    joins_since_change >= min_joins
 }
 
 async fn count_boxes<S: Store>(relay: &Relay, store: &S, generation: Generation, is_first: bool) {
@@ -230,7 +233,7 @@
         Ok(members) if is_first => relay.set_first_members(members),
         Ok(members) => relay.set_members(members, generation),
         Err(err) => {
-            log::info!(event = "census-failed", why:% = err; "the boxes were not counted");
+            log::info!(event = "census-failed", why:% = err; "failed to read the members of the group; keeping the known ones");
         }
     }
 }
--- a/reachtally-relay/src/lib.rs
+++ b/reachtally-relay/src/lib.rs
@@ -1,4 +1,4 @@
-//! The relay: takes a caller's request, lets the core choose where it runs, and passes the answer on.
+//! The relay: receives a caller's request, lets the core choose a target, and passes the response on.
 //!
 //! ```text
 //!  caller ─▶ listen ─▶ serve ─┬▶ whole   (one body: a plain service)      ─▶ target
@@ -6,8 +6,8 @@
 //!  store  ─▶ follow ─▶ tables of reachtally-core ◀─ steward ─▶ orders to engines
 //! ```
 //!
-//! What headers, entries and orders look like on a wire is behind the traits of [`wire`] and
-//! [`store`]; nothing here knows their names. Everything runs on one thread.
+//! The wire formats of headers, entries and orders are hidden behind the traits in [`wire`] and [`store`].
+//! Everything runs on one thread.
 #![forbid(unsafe_code)]
 #![deny(missing_docs)]
 
--- a/reachtally-relay/src/lifecycle.rs
+++ b/reachtally-relay/src/lifecycle.rs
@@ -1,21 +1,21 @@
-//! How far the relay is in its life, and the callers' connections that are open meanwhile.
+//! Shutdown stages of the relay, and the number of open connections of callers.
 
 use std::cell::Cell;
 
 use tokio::sync::watch;
 
-/// How far the relay is in its life.
+/// Stage of the relay from serving to shutdown.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Stage {
-    /// It takes requests.
+    /// Accepts requests.
     Serving,
-    /// It is not ready any more, and still takes what comes.
+    /// Reports not ready, but still accepts requests.
     Leaving,
-    /// Its connections close after the answers that are under way.
+    /// Refuses new requests, and closes connections after the responses in progress.
     Closing,
 }
 
-/// The stage, which only goes forward, and what is open.
+/// Current stage, which only advances, and the number of open connections.
 #[derive(Debug)]
 pub struct Lifecycle {
     stage: watch::Sender<Stage>,
@@ -32,37 +32,37 @@
 }
 
 impl Lifecycle {
-    /// Follow the stage.
+    /// Subscribes to changes of the stage.
     pub fn stage(&self) -> watch::Receiver<Stage> {
         self.stage.subscribe()
     }
 
-    /// Go to a later stage.
+    /// Advances to a later stage.
     pub fn enter(&self, stage: Stage) {
         self.stage.send_replace(stage);
     }
 
-    /// Whether the relay is stopping.
+    /// Returns whether the relay is shutting down.
     pub fn is_leaving(&self) -> bool {
         *self.stage.borrow() != Stage::Serving
     }
 
-    /// Whether the relay takes no more requests.
+    /// Returns whether the relay refuses new requests.
     pub fn is_closing(&self) -> bool {
         *self.stage.borrow() == Stage::Closing
     }
 
-    /// Number of open connections of callers.
+    /// Returns the number of open connections of callers.
     pub fn open(&self) -> usize {
         self.open.get()
     }
 
-    /// A caller's connection came.
+    /// Counts an opened connection.
     pub(crate) fn opened(&self) {
         self.open.set(self.open.get() + 1);
     }
 
-    /// A caller's connection ended.
+    /// Counts a closed connection.
     pub(crate) fn closed(&self) {
         self.open.set(self.open.get() - 1);
     }
--- a/reachtally-relay/src/limits.rs
+++ b/reachtally-relay/src/limits.rs
@@ -1,4 +1,5 @@
-//! Rate limits of targets: what this box learns of them, the permits it holds, and requests that wait for one.
+//! Rate limits of targets: the limits that targets state, the permits of this box, and requests that wait for
+//! a permit.
 
 use std::cell::RefCell;
 use std::sync::Arc;
@@ -13,16 +14,16 @@
 use crate::relay::Relay;
 use crate::serve::Call;
 
-/// Part of a request's objective, counted from its arrival, for which it waits for a permit.
-const WAIT_PART: f64 = 0.125;
+/// Fraction of a request's objective, counted from its arrival, for which it waits for a permit.
+const PERMIT_WAIT_FRACTION: f64 = 0.125;
 
-/// State of the limits beside what is known of each target.
+/// Rate-limit state that is not specific to a target.
 #[derive(Debug, Default)]
 pub(crate) struct LimitState {
     demand: RefCell<Demand>,
-    /// A target changed its limit in an answer to this box.
+    /// Notified when a target changed its limit in a response to this box.
     pub changed: Notify,
-    /// A request waits for a permit.
+    /// Notified when a request waits for a permit.
     pub wanted: Notify,
     granted: watch::Sender<()>,
 }
@@ -40,7 +41,7 @@
 }
 
 impl Relay {
-    /// Number of targets that state a rate limit.
+    /// Returns the number of targets that state a rate limit.
     pub fn limited_targets(&self) -> usize {
         let fleet = self.fleet.borrow();
         let stated = fleet.stated_limits();
@@ -49,12 +50,12 @@
             .count()
     }
 
-    /// A target's answer states its rate limit.
+    /// Records the rate limit that a target states in a response.
     pub(crate) fn target_limits(&self, run: &TargetRun, limit: RateLimit) {
         self.state_limit(run, Some(limit));
     }
 
-    /// A target's own answer names no rate limit: one that it named before has ended.
+    /// Removes the rate limit of a target whose own response states none.
     pub(crate) fn target_names_no_limit(&self, run: &TargetRun) {
         if self.fleet.borrow().limit_of(run).is_some() {
             self.state_limit(run, None);
@@ -74,7 +75,7 @@
         }
     }
 
-    /// Applies limits that another box reported; returns whether one changed.
+    /// Applies limits that another box reported; returns whether any limit changed.
     pub(crate) fn update_limits(&self, reports: &[LimitReport]) -> bool {
         let now = self.now();
         let mut has_changed = false;
@@ -89,7 +90,7 @@
         has_changed
     }
 
-    /// Adds permits.
+    /// Adds granted permits and wakes the requests that wait for them.
     pub(crate) fn take_grants(&self, grants: &Grants) {
         let now = self.now();
         let mut fleet = self.fleet.borrow_mut();
@@ -100,7 +101,7 @@
         self.limits.granted.send_replace(());
     }
 
-    /// Uses a permit for a send to a target, if it states a limit.
+    /// Uses a permit for a send to a target that states a limit.
     pub(crate) fn use_permit(&self, key: EngineKey) {
         let now = self.now();
         let mut fleet = self.fleet.borrow_mut();
@@ -117,14 +118,15 @@
         });
     }
 
-    /// Waits for permits, where nothing else keeps a request from being sent; returns whether to choose a target again.
+    /// Waits for permits if only rate limits keep a request from being sent; returns whether to choose a target
+    /// again.
     pub(crate) async fn await_permits(&self, call: &Call, would_serve: bool) -> bool {
         if !would_serve {
             return false;
         }
-        let until = call.arrived + call.route.objective.mul_f64(WAIT_PART);
+        let until = call.arrived + call.route.objective.mul_f64(PERMIT_WAIT_FRACTION);
         if self.now() >= until {
-            log::info!(event = "no-permit", id = &*call.head.id; "only the rate limits of targets keep the request from being sent");
+            log::info!(event = "no-permit", id = &*call.head.id; "no permit received in time; all eligible targets are rate-limited");
             self.count(|tally| tally.requests_limited += 1);
             return false;
         }
@@ -132,12 +134,12 @@
         let mut granted = self.limits.granted.subscribe();
         self.limits.wanted.notify_one();
         let waiting = tokio::time::timeout_at(self.timer(until), granted.changed());
-        // The sender lives as long as the relay; after a time-out the request tries once more.
+        // The sender lives as long as the relay. After a timeout, the request tries once more.
         !matches!(waiting.await, Ok(Err(_)))
     }
 }
 
 fn log_change(run: &TargetRun, limit: Option<RateLimit>, before: Option<RateLimit>) {
     let rate = |limit: Option<RateLimit>| limit.map(RateLimit::per_second);
-    log::info!(event = "target-limit", target = &*run.id, per_s:? = rate(limit), before:? = rate(before); "a target changed the rate that it accepts from all boxes together");
+    log::info!(event = "target-limit", target = &*run.id, per_s:? = rate(limit), before:? = rate(before); "target changed its rate limit for all boxes together");
 }
--- a/reachtally-relay/src/listen.rs
+++ b/reachtally-relay/src/listen.rs
@@ -1,4 +1,5 @@
-//! The callers' listener: accepts connections, bounds heads and rest, and closes them when stopping.
+//! Listener for callers: accepts connections, enforces header and idle timeouts, and closes connections on
+//! shutdown.
 
 use std::cell::{Cell, RefCell};
 use std::convert::Infallible;
@@ -27,47 +28,48 @@
 use crate::target;
 use crate::unread::Unread;
 
-/// Bounds until a configuration is known.
+/// Default limits until a configuration is known.
 const HEADER_BYTES: usize = 16 * 1024;
 const HEADER_TIMEOUT: Duration = Duration::from_secs(5);
 const IDLE_TIMEOUT: Duration = Duration::from_secs(30);
-/// The least buffer that the HTTP library takes.
-const LEAST_BUFFER: usize = 8 * 1024;
-/// Added to the time that callers may rest, so that a request sent at the last moment is still read.
+/// Minimum buffer size that hyper accepts.
+const MIN_BUFFER: usize = 8 * 1024;
+/// Added to the idle timeout so that a request sent at the last moment is still read.
 const IDLE_SLACK: Duration = Duration::from_secs(1);
 
-/// Bytes that the system buffers for each caller; it sets aside twice as much. Left to itself it buffers megabytes, which are
-/// not read ahead by any rule.
+/// Size of the kernel's send buffer for each caller; the kernel reserves twice as much. By default, it
+/// buffers megabytes, which the limits on reading ahead do not cover.
 const SEND_BUFFER: usize = 64 * 1024;
 
-/// Serve callers until the process ends.
+/// Serves callers until the process exits.
 pub async fn run(relay: Rc<Relay>, listener: TcpListener) {
     let serve = |stream, _| connection(relay.clone(), stream);
     accept::each(listener, "callers", serve).await;
 }
 
-/// What a caller's connection waits for.
+/// What a connection is waiting for.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Phase {
     /// The next request.
-    Rest,
-    /// The rest of a head.
+    Idle,
+    /// The remainder of a request head.
     Head,
-    /// The answer.
+    /// The response.
     Busy,
 }
 
-/// Phase of a connection and since when.
+/// State of a connection.
 #[derive(Debug)]
-struct Watch {
+struct ConnectionState {
+    /// Current phase and its start time.
     phase: Cell<(Phase, Instant)>,
-    /// The request whose answer was begun last.
+    /// Request whose response was started last.
     answer_to: RefCell<Option<AnswerTo>>,
-    /// Whether the connection ends with a reset.
+    /// Whether to close the connection with a reset.
     is_reset: Cell<bool>,
 }
 
-impl Watch {
+impl ConnectionState {
     fn enter(&self, phase: Phase) {
         self.phase.set((phase, Instant::now()));
     }
@@ -77,46 +79,46 @@
     let _open = relay.connection();
     target::send_at_once(&stream);
     if let Err(err) = SockRef::from(&stream).set_send_buffer_size(SEND_BUFFER) {
-        log::debug!(event = "send-buffer", why:% = err; "the system decides what it buffers for a caller");
+        log::debug!(event = "send-buffer", why:% = err; "failed to set the send buffer size; using the system default");
     }
     let limits = relay.configuration.table().and_then(|table| table.limits);
     let header_bytes = limits.map_or(HEADER_BYTES, |limits| limits.header_bytes);
     let header_timeout = limits.map_or(HEADER_TIMEOUT, |limits| limits.header_timeout);
     let idle_timeout = limits.map_or(IDLE_TIMEOUT, |limits| limits.idle_timeout) + IDLE_SLACK;
-    let watch = Rc::new(Watch {
+    let state = Rc::new(ConnectionState {
         phase: Cell::new((Phase::Head, Instant::now())),
         answer_to: RefCell::default(),
         is_reset: Cell::default(),
     });
-    let io = TokioIo::new(Watched {
+    let io = TokioIo::new(MonitoredStream {
         stream,
-        watch: watch.clone(),
+        state: state.clone(),
         relay: relay.clone(),
         unread: Unread::default(),
     });
     let service = service_fn({
         let relay = relay.clone();
-        let watch = watch.clone();
-        move |req| served(relay.clone(), watch.clone(), req)
+        let state = state.clone();
+        move |req| handle(relay.clone(), state.clone(), req)
     });
     let connection = http1::Builder::new()
-        .max_buf_size(header_bytes.max(LEAST_BUFFER))
+        .max_buf_size(header_bytes.max(MIN_BUFFER))
         .serve_connection(io, service);
     let mut connection = pin!(connection);
     let mut stage = relay.lifecycle.stage();
-    // A connection that came late gets its refusal, which closes it.
+    // A connection accepted during shutdown receives a refusal, which closes it.
     let mut closing = relay.lifecycle.is_closing();
     loop {
-        let (phase, since) = watch.phase.get();
+        let (phase, since) = state.phase.get();
         let due = match phase {
-            Phase::Rest => since + idle_timeout,
+            Phase::Idle => since + idle_timeout,
             Phase::Head => since + header_timeout,
             Phase::Busy => Instant::now() + idle_timeout,
         };
         tokio::select! {
             _ = &mut connection => return,
             () = tokio::time::sleep_until(due) => {
-                let (now_phase, now_since) = watch.phase.get();
+                let (now_phase, now_since) = state.phase.get();
                 if (now_phase, now_since) != (phase, since) || phase == Phase::Busy {
                     continue;
                 }
@@ -135,32 +137,32 @@
     }
 }
 
-async fn served(
+async fn handle(
     relay: Rc<Relay>,
-    watch: Rc<Watch>,
+    state: Rc<ConnectionState>,
     req: Request<Incoming>,
-) -> Result<Response<Answering>, Infallible> {
-    watch.enter(Phase::Busy);
-    let is_unframed = req.version() < Version::HTTP_11;
+) -> Result<Response<ResponseBody>, Infallible> {
+    state.enter(Phase::Busy);
+    let ends_with_connection = req.version() < Version::HTTP_11;
     let mut response = serve::handle(relay, req).await;
     let answer_to = response.extensions_mut().remove::<AnswerTo>();
-    watch.answer_to.replace(answer_to);
-    Ok(response.map(|body| Answering {
+    state.answer_to.replace(answer_to);
+    Ok(response.map(|body| ResponseBody {
         body,
-        watch,
-        is_unframed,
+        state,
+        ends_with_connection,
     }))
 }
 
-/// The body of an answer; the connection rests again once it is written or dropped.
-struct Answering {
+/// Body of a response. The connection becomes idle when it is dropped.
+struct ResponseBody {
     body: Body,
-    watch: Rc<Watch>,
-    /// Whether it may end with its connection alone, as for callers of HTTP/1.0.
-    is_unframed: bool,
+    state: Rc<ConnectionState>,
+    /// Whether only the end of the connection may mark the end of the body, as with HTTP/1.0.
+    ends_with_connection: bool,
 }
 
-impl HttpBody for Answering {
+impl HttpBody for ResponseBody {
     type Data = bytes::Bytes;
     type Error = CutShort;
 
@@ -169,8 +171,8 @@
         cx: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<Self::Data>, Self::Error>>> {
         let polled = self.body.as_mut().poll_frame(cx);
-        if self.is_unframed && matches!(polled, Poll::Ready(Some(Err(CutShort)))) {
-            self.watch.is_reset.set(true);
+        if self.ends_with_connection && matches!(polled, Poll::Ready(Some(Err(CutShort)))) {
+            self.state.is_reset.set(true);
         }
         polled
     }
@@ -184,23 +186,24 @@
     }
 }
 
-impl Drop for Answering {
+impl Drop for ResponseBody {
     fn drop(&mut self) {
-        self.watch.enter(Phase::Rest);
+        self.state.enter(Phase::Idle);
     }
 }
 
-/// A connection that notes when the first byte of a head arrives, and ends where the caller takes nothing for too long.
-struct Watched {
+/// Stream that detects the first byte of a request head, and closes the connection if the caller stops
+/// reading.
+struct MonitoredStream {
     stream: TcpStream,
-    watch: Rc<Watch>,
+    state: Rc<ConnectionState>,
     relay: Rc<Relay>,
     unread: Unread,
 }
 
-impl Watched {
-    /// What a write of `buf` came to, or the end of the connection.
-    fn judge(
+impl MonitoredStream {
+    /// Checks the result of writing `buf`, and fails if the caller has stopped reading.
+    fn check_write(
         &mut self,
         cx: &mut Context<'_>,
         buf: &[u8],
@@ -209,7 +212,8 @@
         let Some(waited) = self.unread.note(cx, &written) else {
             return written;
         };
-        // The system wakes a writer only once a third of its buffer is free. A caller that took less has taken something.
+        // The kernel wakes a writer only once a third of its buffer is free. A caller that has read less than
+        // that has still made progress.
         if let Ok(count) = SockRef::from(&self.stream).send(buf) {
             self.unread = Unread::default();
             return Poll::Ready(Ok(count));
@@ -218,28 +222,29 @@
             return written;
         }
         self.relay.count(|tally| tally.readers_cut += 1);
-        let answer_to = self.watch.answer_to.borrow();
+        let answer_to = self.state.answer_to.borrow();
         let id = answer_to.as_ref().map_or("", |AnswerTo(id)| id);
-        log::info!(event = "slow-reader", id = id, why = "it takes nothing", waited_ms = waited.as_millis() as u64, held = self.relay.read_ahead(); "a caller does not read its answer and is cut off");
-        // Frees what the system holds for the caller.
-        self.watch.is_reset.set(true);
+        log::info!(event = "slow-reader", id = id, why = "it takes nothing", waited_ms = waited.as_millis() as u64, held = self.relay.read_ahead(); "disconnected a caller that does not read its response");
+        // A reset frees the kernel's send buffer.
+        self.state.is_reset.set(true);
         Poll::Ready(Err(ErrorKind::TimedOut.into()))
     }
 }
 
-impl Drop for Watched {
-    /// A reset can't be taken for the end of an answer without a length.
+impl Drop for MonitoredStream {
+    /// Resets the connection if requested. Unlike an orderly close, a reset cannot be mistaken for the end of a
+    /// response without a length.
     fn drop(&mut self) {
-        if !self.watch.is_reset.get() {
+        if !self.state.is_reset.get() {
             return;
         }
         if let Err(err) = self.stream.set_zero_linger() {
-            log::debug!(event = "linger", why:% = err; "a connection is closed in order");
+            log::debug!(event = "linger", why:% = err; "failed to set SO_LINGER; closing the connection without a reset");
         }
     }
 }
 
-impl AsyncRead for Watched {
+impl AsyncRead for MonitoredStream {
     fn poll_read(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
@@ -247,21 +252,21 @@
     ) -> Poll<std::io::Result<()>> {
         let before = buf.filled().len();
         let polled = Pin::new(&mut self.stream).poll_read(cx, buf);
-        if buf.filled().len() > before && self.watch.phase.get().0 == Phase::Rest {
-            self.watch.enter(Phase::Head);
+        if buf.filled().len() > before && self.state.phase.get().0 == Phase::Idle {
+            self.state.enter(Phase::Head);
         }
         polled
     }
 }
 
-impl AsyncWrite for Watched {
+impl AsyncWrite for MonitoredStream {
     fn poll_write(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
         buf: &[u8],
     ) -> Poll<std::io::Result<usize>> {
         let written = Pin::new(&mut self.stream).poll_write(cx, buf);
-        self.judge(cx, buf, written)
+        self.check_write(cx, buf, written)
     }
 
     fn poll_write_vectored(
@@ -271,7 +276,7 @@
     ) -> Poll<std::io::Result<usize>> {
         let written = Pin::new(&mut self.stream).poll_write_vectored(cx, bufs);
         let buf = bufs.iter().find(|buf| !buf.is_empty());
-        self.judge(cx, buf.map_or(&[], |buf| buf), written)
+        self.check_write(cx, buf.map_or(&[], |buf| buf), written)
     }
 
     fn is_write_vectored(&self) -> bool {
--- a/reachtally-relay/src/quarantine.rs
+++ b/reachtally-relay/src/quarantine.rs
@@ -1,4 +1,4 @@
-//! Requests under which runs of targets ended: what this box sees of them, and what follows.
+//! Detects requests that crash their targets, and quarantines them.
 
 use std::cell::RefCell;
 use std::collections::BTreeSet;
@@ -16,60 +16,60 @@
 use crate::store::SuspectChange;
 use crate::target;
 
-/// How far a run had come with a request when it ended.
+/// How far a target run had processed a request when the run ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Progress {
-    /// It had begun it, and nothing of the answer's body had come.
+    /// It had begun to process the request and had sent nothing of the response body.
     Begun,
-    /// That can't be told.
+    /// Not known.
     Unknown,
 }
 
-/// What is remembered of such requests, and whether there is something to tell.
+/// Evidence on suspect requests, and notifications of its changes.
 #[derive(Debug, Default)]
-pub(crate) struct Suspicion {
+pub(crate) struct QuarantineState {
     table: RefCell<Quarantine>,
-    /// This box has something to tell at once.
+    /// Notified when this box has changes to send to other boxes immediately.
     pub news: Notify,
-    /// The store answers this box again after it was away.
+    /// Notified when the store is reachable again after an outage.
     pub store_back: Notify,
-    /// Requests of which the store must be told.
-    unkept: RefCell<BTreeSet<Fingerprint>>,
-    unkept_news: Notify,
-    /// Counts the requests that were found to get no more targets, for those under way.
+    /// Requests whose evidence must be written to the store.
+    unsaved: RefCell<BTreeSet<Fingerprint>>,
+    unsaved_changed: Notify,
+    /// Counts quarantine decisions, to notify requests in flight.
     stopped: watch::Sender<u64>,
 }
 
-impl Suspicion {
-    /// The store must be told of a request.
-    fn must_keep(&self, fingerprint: Fingerprint) {
-        self.unkept.borrow_mut().insert(fingerprint);
-        self.unkept_news.notify_one();
+impl QuarantineState {
+    /// Marks the evidence on a request to be written to the store.
+    fn mark_unsaved(&self, fingerprint: Fingerprint) {
+        self.unsaved.borrow_mut().insert(fingerprint);
+        self.unsaved_changed.notify_one();
     }
 
-    /// What has changed lately.
+    /// Returns recently changed evidence.
     pub fn changes(&self, origin: Origin, now: Instant) -> Vec<Told> {
         self.table.borrow().changes(origin, now)
     }
 
-    /// A page of all that is remembered.
+    /// Returns one page of all evidence.
     pub fn page(&self, number: u64, now: Instant) -> Vec<Told> {
         self.table.borrow().page(number, now)
     }
 
-    /// Forget what is old.
+    /// Removes expired evidence.
     pub fn remove_expired(&self, now: Instant) {
         self.table.borrow_mut().remove_expired(now);
     }
 }
 
 impl Relay {
-    /// Requests remembered because targets ended under them.
+    /// Returns the number of requests with evidence against them.
     pub fn suspects_known(&self) -> usize {
         self.suspicion.table.borrow().len()
     }
 
-    /// Whether a request gets no more targets, since those that began to run it ended.
+    /// Returns whether a request is quarantined because targets that began to run it crashed.
     pub(crate) fn is_quarantined(&self, call: &Call) -> bool {
         let mut table = self.suspicion.table.borrow_mut();
         if table.is_empty() {
@@ -83,8 +83,8 @@
         true
     }
 
-    /// A target broke its connection off while it had a request. Where nothing listens there any more the run is over, and the request
-    /// may be the cause; a connection that was cut, or an engine that only resets it, proves nothing.
+    /// Handles a connection that a target closed while it had a request. If nothing listens at its address any
+    /// more, the run has ended and the request may be the cause. A cut or reset connection alone proves nothing.
     pub(crate) async fn target_broke_off(&self, call: &Call, to: &Recipient, progress: Progress) {
         if !target::listens_no_more(to.address).await {
             return;
@@ -96,110 +96,110 @@
         };
         let account = AccountDigest::from(call.account.as_deref());
         let fingerprint = call.fingerprint();
-        let news = {
+        let changed = {
             let mut table = self.suspicion.table.borrow_mut();
             table.run_ended(fingerprint, account, end, self.now())
         };
-        let Some(verdict) = news else {
+        let Some(verdict) = changed else {
             return;
         };
         self.count(|tally| tally.ends_under_requests += 1);
-        self.note_stopped(verdict);
+        self.notify_quarantined(verdict);
         if verdict == Verdict::Quarantined {
-            self.suspicion.must_keep(fingerprint);
+            self.suspicion.mark_unsaved(fingerprint);
         }
-        log::info!(event = "ended-under", id = &*call.head.id, fingerprint:% = fingerprint, account = call.account.as_deref().unwrap_or_default(), target = &*to.run.id, progress:? = progress, verdict:? = verdict; "a target ended under a request");
+        log::info!(event = "ended-under", id = &*call.head.id, fingerprint:% = fingerprint, account = call.account.as_deref().unwrap_or_default(), target = &*to.run.id, progress:? = progress, verdict:? = verdict; "target crashed while running a request");
         self.suspicion.news.notify_one();
     }
 
-    /// A target gave a request a whole answer, so the request is not why others ended.
+    /// Clears a request of suspicion, since a target completed it.
     pub(crate) fn answered_whole(&self, call: &Call) {
         let mut table = self.suspicion.table.borrow_mut();
         if table.is_empty() {
             return;
         }
         let fingerprint = call.fingerprint();
-        let was_stopped = table.verdict(fingerprint) == Verdict::Quarantined;
+        let was_quarantined = table.verdict(fingerprint) == Verdict::Quarantined;
         if table.acquit(fingerprint, self.now()) {
-            if was_stopped {
-                self.suspicion.must_keep(fingerprint);
+            if was_quarantined {
+                self.suspicion.mark_unsaved(fingerprint);
             }
-            log::info!(event = "acquitted", id = &*call.head.id, fingerprint:% = fingerprint; "a request that targets ended under has a whole answer");
+            log::info!(event = "acquitted", id = &*call.head.id, fingerprint:% = fingerprint; "cleared a suspect request that a target completed");
             self.suspicion.news.notify_one();
         }
     }
 
-    /// Take in what another box told; yields whether something of it is news.
+    /// Merges evidence from another box; returns whether any of it is new.
     pub(crate) fn hear_suspects(&self, told: &[Told]) -> bool {
         let now = self.now();
         let mut table = self.suspicion.table.borrow_mut();
-        let mut is_news = false;
+        let mut is_changed = false;
         for told in told {
             let before = table.verdict(told.fingerprint);
-            is_news |= table.hear(told, now);
+            is_changed |= table.hear(told, now);
             let verdict = table.verdict(told.fingerprint);
             if before != verdict {
-                log::info!(event = "suspect", fingerprint:% = told.fingerprint, before:? = before, verdict:? = verdict; "other boxes told of targets that ended under a request");
-                self.note_stopped(verdict);
+                log::info!(event = "suspect", fingerprint:% = told.fingerprint, before:? = before, verdict:? = verdict; "evidence from other boxes changed the verdict on a request");
+                self.notify_quarantined(verdict);
             }
         }
-        is_news
+        is_changed
     }
 
-    /// Take in what earlier runs of boxes kept.
+    /// Merges evidence that earlier runs of boxes saved in the store.
     pub(crate) fn take_over_suspects(&self, kept: &[Told]) {
         if self.hear_suspects(kept) {
-            log::info!(event = "suspects-read", requests = kept.len(); "requests that targets ended under were read from the store");
+            log::info!(event = "suspects-read", requests = kept.len(); "loaded suspect requests from the store");
             self.suspicion.news.notify_one();
         }
     }
 
-    /// Wait for requests of which the store must be told.
+    /// Waits for evidence that must be written to the store, and returns the changes.
     pub(crate) async fn unkept_suspects(&self) -> Vec<SuspectChange> {
-        while self.suspicion.unkept.borrow().is_empty() {
-            self.suspicion.unkept_news.notified().await;
+        while self.suspicion.unsaved.borrow().is_empty() {
+            self.suspicion.unsaved_changed.notified().await;
         }
         let now = self.now();
         let table = self.suspicion.table.borrow();
-        let unkept = self.suspicion.unkept.borrow();
+        let unsaved = self.suspicion.unsaved.borrow();
         let change = |fingerprint: &Fingerprint| match table.tell(*fingerprint, now) {
             Some(told) => SuspectChange::Keep(told),
             None => SuspectChange::Drop(*fingerprint),
         };
-        unkept.iter().map(change).collect()
+        unsaved.iter().map(change).collect()
     }
 
-    /// The store was told. What has changed meanwhile is to be told anew.
+    /// Marks changes as written to the store. Evidence that has changed since must be written again.
     pub(crate) fn suspects_kept(&self, changes: &[SuspectChange]) {
         let now = self.now();
         let table = self.suspicion.table.borrow();
-        let is_as_told = |told: &Told| {
+        let is_current = |told: &Told| {
             let held = table.tell(told.fingerprint, now);
             held.is_some_and(|held| held.ends == told.ends)
         };
-        let mut unkept = self.suspicion.unkept.borrow_mut();
+        let mut unsaved = self.suspicion.unsaved.borrow_mut();
         for change in changes {
             match change {
-                SuspectChange::Keep(told) if is_as_told(told) => unkept.remove(&told.fingerprint),
+                SuspectChange::Keep(told) if is_current(told) => unsaved.remove(&told.fingerprint),
                 SuspectChange::Keep(_) => false,
-                SuspectChange::Drop(fingerprint) => unkept.remove(fingerprint),
+                SuspectChange::Drop(fingerprint) => unsaved.remove(fingerprint),
             };
         }
     }
 
-    fn note_stopped(&self, verdict: Verdict) {
+    fn notify_quarantined(&self, verdict: Verdict) {
         if verdict == Verdict::Quarantined {
             self.suspicion.stopped.send_modify(|count| *count += 1);
         }
     }
 
-    /// Follow whether requests are stopped.
+    /// Subscribes to quarantine decisions.
     pub(crate) fn stopped(&self) -> watch::Receiver<u64> {
         self.suspicion.stopped.subscribe()
     }
 
-    /// Wait until this request gets no more targets. Guards those that it has been sent to and that have not ended yet: leaving them
-    /// then may come before they begin it.
+    /// Waits until this request is quarantined. Cancelling it then protects targets that it was already sent to
+    /// and that may not have begun to run it.
     pub(crate) async fn until_quarantined(&self, call: &Call, stopped: &mut watch::Receiver<u64>) {
         // The sender lives as long as the relay.
         while stopped.changed().await.is_ok() && !self.is_quarantined(call) {}
--- a/reachtally-relay/src/relay.rs
+++ b/reachtally-relay/src/relay.rs
@@ -31,7 +31,7 @@
 use crate::limits::LimitState;
 use crate::metrics::Times;
 use crate::occupied::OpenConnection;
-use crate::quarantine::Suspicion;
+use crate::quarantine::QuarantineState;
 use crate::rhythm::Rhythm;
 use crate::second_sends::SecondSends;
 use crate::share::Pages;
@@ -102,7 +102,7 @@
     direct: watch::Sender<bool>,
     slow_engines: SlowEngines,
     /// Requests whose targets crashed while running them.
-    pub(crate) suspicion: Suspicion,
+    pub(crate) suspicion: QuarantineState,
     /// Rate limits of targets and pending permits.
     pub(crate) limits: LimitState,
     /// Admission control by rank.
@@ -177,7 +177,7 @@
             mean_run_time: Cell::new(INITIAL_RUN_TIME),
             direct: watch::Sender::new(false),
             slow_engines: SlowEngines::default(),
-            suspicion: Suspicion::default(),
+            suspicion: QuarantineState::default(),
             limits: LimitState::default(),
             admission: Admission::default(),
             shares: ShareState::default(),
--- a/reachtally-relay/src/steward.rs
+++ b/reachtally-relay/src/steward.rs
@@ -1,4 +1,4 @@
-//! The steward: lets engines hold the layers that the core's placement asks for.
+//! The steward: orders engines to load the layers that the placement in `reachtally-core` assigns to them.
 
 use std::collections::HashMap;
 use std::rc::Rc;
@@ -15,51 +15,51 @@
 use crate::relay::Relay;
 use crate::store::{OrderAnswer, Orders, Told};
 
-/// Time between two looks at the engines.
-const TICK: Duration = Duration::from_millis(250);
-/// The list of engines must not have grown for this long before a first plan, so that it is made for
-/// all of them. Engines write their entries about every second.
-const SETTLE: Duration = Duration::from_millis(900);
-/// How long an order that was taken may stay without effect before it is given again: loads of a
-/// whole card take some ten seconds, and several share the store of weights.
-const ORDER_PATIENCE: Duration = Duration::from_secs(20);
-/// How long an order without an answer is left alone. The engine's entry shows within two seconds
-/// whether it was taken.
-const LOST_PATIENCE: Duration = Duration::from_secs(4);
+/// Time between two placement runs.
+const PLAN_INTERVAL: Duration = Duration::from_millis(250);
+/// Time for which the list of engines must not grow before a placement run, so that the plan covers all of
+/// them. Engines write their entries about every second.
+const SETTLE_TIME: Duration = Duration::from_millis(900);
+/// Time after which an accepted order without effect is repeated. Loading a whole card takes some ten
+/// seconds, and several engines share the weight store.
+const ORDER_TIMEOUT: Duration = Duration::from_secs(20);
+/// Time after which an order without a response is repeated. The engine's entry shows within two seconds
+/// whether it was accepted.
+const LOST_ORDER_TIMEOUT: Duration = Duration::from_secs(4);
 
-/// An order whose effect is awaited.
+/// An order that has not taken effect yet.
 struct Pending {
     layers: Layers,
     until: Instant,
 }
 
-/// Look after placement while this box is the steward.
+/// Runs placement while this box is the steward.
 pub async fn run<O: Orders>(relay: Rc<Relay>, part: Part, orders: O) {
     let mut pending: HashMap<EngineKey, Pending> = HashMap::new();
-    let mut known = 0;
+    let mut known_engines = 0;
     let mut grown_at = relay.now();
     loop {
-        sleep(TICK).await;
+        sleep(PLAN_INTERVAL).await;
         let now = relay.now();
         let count = relay.fleet.borrow().iter().count();
-        if count > known {
+        if count > known_engines {
             grown_at = now;
         }
-        known = count;
-        if part.borrow().permit(now).is_none() || now.since(grown_at) < SETTLE {
+        known_engines = count;
+        if part.borrow().permit(now).is_none() || now.since(grown_at) < SETTLE_TIME {
             continue;
         }
-        settle_pending(&relay, &mut pending, now);
-        for (model, service) in layered(&relay) {
+        remove_settled(&relay, &mut pending, now);
+        for (model, service) in layered_services(&relay) {
             let hosts = hosts(&relay, &service, &model, &pending);
             let moves = placement::moves(&model, &hosts);
-            give(&relay, &part, &orders, &mut pending, moves).await;
+            send_orders(&relay, &part, &orders, &mut pending, moves).await;
         }
     }
 }
 
-/// Services whose engines hold layers.
-fn layered(relay: &Relay) -> Vec<(Arc<LayerModel>, Arc<str>)> {
+/// Returns the services whose engines hold model layers.
+fn layered_services(relay: &Relay) -> Vec<(Arc<LayerModel>, Arc<str>)> {
     let Some(table) = relay.configuration.table() else {
         return Vec::new();
     };
@@ -69,8 +69,8 @@
         .collect()
 }
 
-/// Forget orders that had their effect, whose engine is gone, or that took too long.
-fn settle_pending(relay: &Relay, pending: &mut HashMap<EngineKey, Pending>, now: Instant) {
+/// Removes orders that took effect, whose engine is gone, or that timed out.
+fn remove_settled(relay: &Relay, pending: &mut HashMap<EngineKey, Pending>, now: Instant) {
     let fleet = relay.fleet.borrow();
     pending.retain(|key, order| {
         let holds = fleet
@@ -108,14 +108,14 @@
         .collect()
 }
 
-async fn give<O: Orders>(
+async fn send_orders<O: Orders>(
     relay: &Relay,
     part: &Part,
     orders: &O,
     pending: &mut HashMap<EngineKey, Pending>,
     moves: Vec<Move>,
 ) {
-    let mut given = Vec::new();
+    let mut sent = Vec::new();
     for placed in moves {
         let engine = relay.fleet.borrow().get(placed.engine).cloned();
         let Some(engine) = engine else {
@@ -127,30 +127,30 @@
         let Some(permit) = part.borrow().permit(relay.now()) else {
             continue;
         };
-        given.push(async move {
+        sent.push(async move {
             let Told { answer, said } = orders.place(&engine, &placed, permit).await;
             relay.target_said(&engine.entry.run(), said);
             if answer == OrderAnswer::Superseded && part.borrow_mut().superseded(permit) {
-                log::info!(event = "superseded", target = &*engine.entry.id, token:? = permit.token(); "another box is the steward by now");
+                log::info!(event = "superseded", target = &*engine.entry.id, token:? = permit.token(); "another box has become the steward");
             }
             relay.count(|tally| tally.orders_given += 1);
-            log::info!(event = "order", target = &*engine.entry.id, layers:? = placed.layers, give_up:? = placed.give_up, held:? = engine.entry.layers, answer:? = answer; "an engine was ordered to hold layers");
+            log::info!(event = "order", target = &*engine.entry.id, layers:? = placed.layers, give_up:? = placed.give_up, held:? = engine.entry.layers, answer:? = answer; "ordered an engine to load layers");
             (placed, answer)
         });
     }
-    for (placed, answer) in futures::future::join_all(given).await {
-        let patience = match answer {
-            OrderAnswer::Begun | OrderAnswer::Holds => ORDER_PATIENCE,
-            OrderAnswer::Lost => LOST_PATIENCE,
+    for (placed, answer) in futures::future::join_all(sent).await {
+        let timeout = match answer {
+            OrderAnswer::Begun | OrderAnswer::Holds => ORDER_TIMEOUT,
+            OrderAnswer::Lost => LOST_ORDER_TIMEOUT,
             OrderAnswer::Conflict
             | OrderAnswer::Superseded
             | OrderAnswer::Occupied
             | OrderAnswer::Unwilling
-            | OrderAnswer::Refused(_) => TICK * 4,
+            | OrderAnswer::Refused(_) => PLAN_INTERVAL * 4,
         };
         let order = Pending {
             layers: placed.layers,
-            until: relay.now() + patience,
+            until: relay.now() + timeout,
         };
         pending.insert(placed.engine, order);
     }
--- a/reachtally-relay/src/whole.rs
+++ b/reachtally-relay/src/whole.rs
@@ -1,4 +1,4 @@
-//! Requests with one body as their answer, for instances of plain services.
+//! Forwards requests for plain services, whose response is a single body.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -23,11 +23,11 @@
 use crate::target::{self, Connection, SendError};
 use crate::wire::Addition;
 
-/// Answers up to this size are held whole before they are passed on, so that one which breaks off
-/// can be fetched again.
-const HELD_BYTES: u64 = 256 * 1024;
+/// Responses up to this size are buffered completely before they are passed on, so that a request whose
+/// response breaks off can be sent again.
+const MAX_BUFFERED_BYTES: u64 = 256 * 1024;
 
-/// Relay a request; yields the final answer.
+/// Relays a request and returns the final response.
 pub(crate) async fn relay(relay: &Rc<Relay>, call: &Call) -> Response<Body> {
     let mut attempts = Attempts::new();
     let mut failure: Option<Response<Body>> = None;
@@ -57,7 +57,7 @@
             break;
         }
         let key = found.engine;
-        attempts.begin(relay, key, record(relay, call, key));
+        attempts.begin(relay, key, send_record(relay, call, key));
         attempts.avoid.push(key);
         let sent_at = relay.now();
         match send(relay, call, key).await {
@@ -66,7 +66,7 @@
                 let took = relay.now().since(sent_at);
                 let admission = &relay.admission;
                 admission.record_run_time(&call.service_name, took, found.used);
-                if !is_retried(call, &response, &attempts) {
+                if !should_retry(call, &response, &attempts) {
                     return answered(relay, call, response);
                 }
                 failure = Some(response);
@@ -91,12 +91,12 @@
     response
 }
 
-/// Whether a failure that a target answered is tried elsewhere.
-fn is_retried(call: &Call, response: &Response<Body>, attempts: &Attempts) -> bool {
+/// Returns whether a request with a server error is sent to another target.
+fn should_retry(call: &Call, response: &Response<Body>, attempts: &Attempts) -> bool {
     response.status().is_server_error() && call.route.is_repeatable() && attempts.may_run(call)
 }
 
-fn record(relay: &Relay, call: &Call, key: EngineKey) -> SendRecord {
+fn send_record(relay: &Relay, call: &Call, key: EngineKey) -> SendRecord {
     let fleet = relay.fleet.borrow();
     let engine = fleet.get(key);
     SendRecord {
@@ -108,8 +108,8 @@
     }
 }
 
-/// What a choice offers to a request; where only this box's part of the connections keeps it from an instance, one of them is
-/// free soon.
+/// Returns the offer of a choice to a request. If only this box's share of connections keeps it from an
+/// instance, there is an offer too, since a connection will be free soon.
 fn offer(relay: &Relay, call: &Call, found: Option<Instance>) -> Option<Offer> {
     let is_offered =
         found.is_some() || choose_with(relay, call, &[], Limits::Enforced, u32::MAX).is_some();
@@ -145,7 +145,7 @@
     })
 }
 
-/// Send the request to a target; yields its answer.
+/// Sends the request to a target and returns the response.
 async fn send(
     relay: &Rc<Relay>,
     call: &Call,
@@ -168,7 +168,7 @@
             return Err(exchange::not_connected(relay, key, &why));
         }
         Some(Err(SendError::Broken(why) | SendError::Stale(why))) => {
-            return Err(broke_off(relay, call, &to, why).await);
+            return Err(target_disconnected(relay, call, &to, why).await);
         }
         Some(Ok(answer)) => answer,
     };
@@ -184,23 +184,28 @@
     match relay.until_due(call.due, receiving).await {
         None => Err(Unanswered::Late),
         Some(Ok(response)) => Ok(response),
-        Some(Err(why)) => Err(broke_off(relay, call, &to, why).await),
+        Some(Err(why)) => Err(target_disconnected(relay, call, &to, why).await),
     }
 }
 
-/// The target broke its connection off: it has failed, or the request may be why it ended.
-async fn broke_off(relay: &Relay, call: &Call, to: &Recipient, why: String) -> Unanswered {
+/// Handles a connection that the target closed: it has failed, and the request may have crashed it.
+async fn target_disconnected(
+    relay: &Relay,
+    call: &Call,
+    to: &Recipient,
+    why: String,
+) -> Unanswered {
     relay.target_broke_off(call, to, Progress::Unknown).await;
     failed(relay, to.key, why)
 }
 
-/// The target has failed, and the request may have run.
+/// Records the failure of a target that may have run the request.
 fn failed(relay: &Relay, key: EngineKey, why: String) -> Unanswered {
     relay.target_failed(key, &why);
     Unanswered::Lost(why)
 }
 
-/// Read an answer. Small ones are held until they are whole.
+/// Reads a response. Responses of up to [`MAX_BUFFERED_BYTES`] are buffered until they are complete.
 async fn receive(
     relay: &Relay,
     call: &Call,
@@ -211,27 +216,27 @@
     let (mut parts, mut body) = response.into_parts();
     parts.headers = relay.wire.backward(&parts.headers);
     let length = body.size_hint().exact();
-    if length.is_some_and(|length| length > HELD_BYTES) {
-        let passing = body.map_err(move |_| {
+    if length.is_some_and(|length| length > MAX_BUFFERED_BYTES) {
+        let passed_on = body.map_err(move |_| {
             let _ = (&connection, &occupied);
             CutShort
         });
-        return Ok(Response::from_parts(parts, Box::pin(passing)));
+        return Ok(Response::from_parts(parts, Box::pin(passed_on)));
     }
-    // One without a length may turn out to be larger.
-    let mut held = BytesMut::new();
-    while held.len() as u64 <= HELD_BYTES {
+    // A response without a length may turn out to be larger.
+    let mut buffered = BytesMut::new();
+    while buffered.len() as u64 <= MAX_BUFFERED_BYTES {
         let Some(frame) = body.frame().await else {
             relay.answered_whole(call);
-            return Ok(Response::from_parts(parts, answer::whole(held)));
+            return Ok(Response::from_parts(parts, answer::whole(buffered)));
         };
         let frame = frame.map_err(|err| err.to_string())?;
-        // Trailers are no part of the body.
-        held.extend_from_slice(frame.data_ref().map_or(&[], |data| data));
+        // Ignores trailers.
+        buffered.extend_from_slice(frame.data_ref().map_or(&[], |data| data));
     }
-    let passing = async_stream::stream! {
+    let passed_on = async_stream::stream! {
         let _keep = (connection, occupied);
-        yield Ok(Frame::data(held.freeze()));
+        yield Ok(Frame::data(buffered.freeze()));
         while let Some(frame) = body.frame().await {
             let frame = frame.map_err(|_| CutShort);
             let is_cut = frame.is_err();
@@ -243,6 +248,6 @@
     };
     Ok(Response::from_parts(
         parts,
-        Box::pin(StreamBody::new(passing)),
+        Box::pin(StreamBody::new(passed_on)),
     ))
 }
