--- a/reachtally-relay/src/accept.rs
+++ b/reachtally-relay/src/accept.rs
@@ -6,7 +6,7 @@
 use tokio::net::{TcpListener, TcpStream};
 
 /// Pause after a failed accept, which is most often caused by a lack of file descriptors.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 
 /// Serves each connection in its own task until the process exits; `name` identifies the listener in the log.
 pub(crate) async fn each<F>(
@@ -18,12 +18,12 @@
 {
     loop {
         match listener.accept().await {
-            Ok((stream, from)) => {
-                tokio::task::spawn_local(serve(stream, from));
+            Ok((stream, peer)) => {
+                tokio::task::spawn_local(serve(stream, peer));
             }
             Err(err) => {
                 log::warn!(event = "accept-failed", listener = name, why:% = err; "failed to accept a connection");
-                tokio::time::sleep(ACCEPT_PAUSE).await;
+                tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
             }
         }
     }
--- a/reachtally-relay/src/answer.rs
+++ b/reachtally-relay/src/answer.rs
@@ -31,11 +31,11 @@
 
 /// Average `Retry-After` as a fraction of the caller's remaining time. Engines that are full or under repair
 /// need a second or two, and callers follow up to a third.
-const RETURN_SHARE: f64 = 0.08;
+const RETRY_AFTER_FRACTION: f64 = 0.08;
 /// Maximum of this `Retry-After`, before jitter.
-const LATEST_RETURN: Duration = Duration::from_secs(3);
+const MAX_RETRY_AFTER: Duration = Duration::from_secs(3);
 /// `Retry-After` of a box that waits for the store or is stopping: another box handles the retry.
-const ELSEWHERE: Duration = Duration::from_millis(50);
+const OTHER_BOX_RETRY_AFTER: Duration = Duration::from_millis(50);
 
 /// Returns a body with the given bytes.
 pub fn whole(bytes: impl Into<Bytes>) -> Body {
@@ -89,18 +89,18 @@
     let text = format!("not run: {:?}", not_run.refusal());
     let mut response = plain(StatusCode::SERVICE_UNAVAILABLE, &text);
     let base = match not_run.refusal() {
-        Refusal::Stopping | Refusal::Paused => ELSEWHERE,
+        Refusal::Stopping | Refusal::Paused => OTHER_BOX_RETRY_AFTER,
         // An earlier retry would be refused again.
         Refusal::Quarantined => left,
         // The retry schedule already spreads these callers.
         Refusal::Shed => Duration::ZERO,
-        _ => left.mul_f64(RETURN_SHARE).min(LATEST_RETURN),
+        _ => left.mul_f64(RETRY_AFTER_FRACTION).min(MAX_RETRY_AFTER),
     };
-    let spread = (draw % 1000) as f64 / 1000.0;
+    let jitter = (draw % 1000) as f64 / 1000.0;
     // A retry before the end of the back-off would be refused again.
     let after = match back_off {
-        Some(back_off) => back_off + base.mul_f64(spread),
-        None => base.mul_f64(0.5 + spread),
+        Some(back_off) => back_off + base.mul_f64(jitter),
+        None => base.mul_f64(0.5 + jitter),
     };
     let text = format!("{:.3}", after.as_secs_f64());
     let value = HeaderValue::from_str(&text).expect("digits and a point");
--- a/reachtally-relay/src/connections.rs
+++ b/reachtally-relay/src/connections.rs
@@ -13,9 +13,9 @@
 
 /// Time for which an idle connection is kept. With it, most streams find one; engines close idle connections
 /// later.
-const KEPT_FOR: Duration = Duration::from_secs(3);
+const IDLE_TIMEOUT: Duration = Duration::from_secs(3);
 
-struct Kept {
+struct IdleConnection {
     connection: Connection,
     since: Instant,
 }
@@ -23,15 +23,15 @@
 /// The pool of idle connections, oldest first.
 #[derive(Default)]
 pub struct Connections {
-    kept: RefCell<Vec<Kept>>,
+    idle: RefCell<Vec<IdleConnection>>,
 }
 
 impl Connections {
     /// Adds a connection whose last response is complete.
     pub fn keep(&self, connection: Connection, now: Instant) {
-        let mut kept = self.kept.borrow_mut();
-        kept.retain(|old| now.since(old.since) < KEPT_FOR);
-        kept.push(Kept {
+        let mut idle = self.idle.borrow_mut();
+        idle.retain(|old| now.since(old.since) < IDLE_TIMEOUT);
+        idle.push(IdleConnection {
             connection,
             since: now,
         });
@@ -39,11 +39,11 @@
 
     /// Takes the most recently used connection to `address`.
     pub fn take(&self, address: SocketAddr, now: Instant) -> Option<Connection> {
-        let mut kept = self.kept.borrow_mut();
-        kept.retain(|old| now.since(old.since) < KEPT_FOR);
+        let mut idle = self.idle.borrow_mut();
+        idle.retain(|old| now.since(old.since) < IDLE_TIMEOUT);
         let is_usable =
-            |old: &Kept| old.connection.address() == address && old.connection.is_ready();
-        let found = kept.iter().rposition(is_usable)?;
-        Some(kept.remove(found).connection)
+            |old: &IdleConnection| old.connection.address() == address && old.connection.is_ready();
+        let found = idle.iter().rposition(is_usable)?;
+        Some(idle.remove(found).connection)
     }
 }
--- a/reachtally-relay/src/events.rs
+++ b/reachtally-relay/src/events.rs
@@ -15,7 +15,7 @@
 pub struct TooLong;
 
 /// Maximum size of an event in bytes; engines send events of some hundred.
-const LONGEST_EVENT: usize = 256 * 1024;
+const MAX_EVENT_BYTES: usize = 256 * 1024;
 
 impl Splitter {
     /// Creates a splitter that resumes after event `last`.
@@ -51,8 +51,8 @@
         while let Some(end) = event_end(&self.buf) {
             let event = self.buf.split_to(end);
             let id = event_id(&event);
-            let is_known = id.zip(self.last).is_some_and(|(id, last)| id <= last);
-            if is_known {
+            let is_duplicate = id.zip(self.last).is_some_and(|(id, last)| id <= last);
+            if is_duplicate {
                 continue;
             }
             self.last = id.or(self.last);
@@ -62,7 +62,7 @@
                 out.extend_from_slice(&event);
             }
         }
-        if self.buf.len() > LONGEST_EVENT {
+        if self.buf.len() > MAX_EVENT_BYTES {
             return Err(TooLong);
         }
         Ok(out.freeze())
--- a/reachtally-relay/src/exchange.rs
+++ b/reachtally-relay/src/exchange.rs
@@ -26,7 +26,7 @@
 }
 
 /// Statuses that tell callers that the request did not run. They are passed on only with a target's proof.
-const PROMISES: [u16; 4] = [408, 421, 429, 503];
+const NOT_RUN_STATUSES: [u16; 4] = [408, 421, 429, 503];
 
 /// Target of a send. Its row may be removed while the send is in progress.
 pub(crate) struct Recipient {
@@ -97,26 +97,26 @@
     }
     drop(fleet);
     relay.target_said(&from.run, head.said);
-    if head.said.limit == LimitHeader::Absent && is_own(call, &head) {
+    if head.said.limit == LimitHeader::Absent && is_from_target(call, &head) {
         relay.target_names_no_limit(&from.run);
     }
     head
 }
 
 /// Returns whether the response was made by the target itself, and for this request.
-fn is_own(call: &Call, head: &AnswerHead) -> bool {
+fn is_from_target(call: &Call, head: &AnswerHead) -> bool {
     let is_vouched = head.sealed || (head.not_run && !head.misdirected);
-    is_vouched && is_answer_to(call, head)
+    is_vouched && matches_request(call, head)
 }
 
 /// Returns whether a response proves that the target did not run this request. A refusal may lack the request
 /// id, since a component in front of the target that does not read ids may have sent it.
 pub(crate) fn proves_not_run(call: &Call, head: &AnswerHead) -> bool {
-    head.not_run && (head.id.is_none() || is_answer_to(call, head))
+    head.not_run && (head.id.is_none() || matches_request(call, head))
 }
 
 /// Returns whether a response carries the id of this request.
-fn is_answer_to(call: &Call, head: &AnswerHead) -> bool {
+fn matches_request(call: &Call, head: &AnswerHead) -> bool {
     head.id.as_deref() == Some(call.head.id.as_str())
 }
 
@@ -126,13 +126,13 @@
     head: &AnswerHead,
     response: &Response<Incoming>,
 ) -> Option<&'static str> {
-    if !is_answer_to(call, head) {
+    if !matches_request(call, head) {
         return Some("the response belongs to another request");
     }
     if !head.sealed {
         return Some("the response has no seal");
     }
-    if PROMISES.contains(&response.status().as_u16()) {
+    if NOT_RUN_STATUSES.contains(&response.status().as_u16()) {
         return Some("the status says that the request did not run, without proof");
     }
     if response.headers().contains_key(CONTENT_ENCODING) {
--- a/reachtally-relay/src/group.rs
+++ b/reachtally-relay/src/group.rs
@@ -63,10 +63,10 @@
         dependency: Dependency::new("group"),
     };
     // At startup every missing box joins, later each with a probability.
-    let mut probability = 0.0;
+    let mut draw = 0.0;
     while !membership.relay.lifecycle.is_leaving() {
-        let should_join = membership.should_join(probability).await;
-        probability = rand::random();
+        let should_join = membership.should_join(draw).await;
+        draw = rand::random();
         membership.set_member(should_join);
         let has_lost_role = membership.is_member && membership.join().await;
         // The group assigns the role to another box only once this one has joined with the new generation.
@@ -126,7 +126,7 @@
     }
 
     /// Returns whether this box should be in the group, given the known members.
-    async fn should_join(&self, probability: f64) -> bool {
+    async fn should_join(&self, draw: f64) -> bool {
         if self.is_member {
             return !self.with_view(|view| view.is_superfluous());
         }
@@ -134,8 +134,8 @@
             return true;
         }
         let boxes = self.relay.boxes();
-        let needed_probability = self.with_view(|view| view.chance_to_join(boxes));
-        needed_probability > probability && self.are_readers_missing().await
+        let join_probability = self.with_view(|view| view.chance_to_join(boxes));
+        join_probability > draw && self.are_readers_missing().await
     }
 
     /// Returns whether readers of this failure domain are missing from the member list in the store. The list
--- a/reachtally-relay/src/lifecycle.rs
+++ b/reachtally-relay/src/lifecycle.rs
@@ -58,12 +58,12 @@
     }
 
     /// Counts an opened connection.
-    pub(crate) fn opened(&self) {
+    pub(crate) fn connection_opened(&self) {
         self.open.set(self.open.get() + 1);
     }
 
     /// Counts a closed connection.
-    pub(crate) fn closed(&self) {
+    pub(crate) fn connection_closed(&self) {
         self.open.set(self.open.get() - 1);
     }
 }
--- a/reachtally-relay/src/listen.rs
+++ b/reachtally-relay/src/listen.rs
@@ -26,7 +26,7 @@
 use crate::relay::Relay;
 use crate::serve;
 use crate::target;
-use crate::unread::Unread;
+use crate::unread::BlockedWrite;
 
 /// Default limits until a configuration is known.
 const HEADER_BYTES: usize = 16 * 1024;
@@ -94,7 +94,7 @@
         stream,
         state: state.clone(),
         relay: relay.clone(),
-        unread: Unread::default(),
+        blocked_write: BlockedWrite::default(),
     });
     let service = service_fn({
         let relay = relay.clone();
@@ -198,7 +198,7 @@
     stream: TcpStream,
     state: Rc<ConnectionState>,
     relay: Rc<Relay>,
-    unread: Unread,
+    blocked_write: BlockedWrite,
 }
 
 impl MonitoredStream {
@@ -209,13 +209,13 @@
         buf: &[u8],
         written: Poll<std::io::Result<usize>>,
     ) -> Poll<std::io::Result<usize>> {
-        let Some(waited) = self.unread.note(cx, &written) else {
+        let Some(waited) = self.blocked_write.record(cx, &written) else {
             return written;
         };
         // The kernel wakes a writer only once a third of its buffer is free. A caller that has read less than
         // that has still made progress.
         if let Ok(count) = SockRef::from(&self.stream).send(buf) {
-            self.unread = Unread::default();
+            self.blocked_write = BlockedWrite::default();
             return Poll::Ready(Ok(count));
         }
         if waited < CUT_AFTER {
--- a/reachtally-relay/src/metrics.rs
+++ b/reachtally-relay/src/metrics.rs
@@ -1,4 +1,4 @@
-//! Counters and histograms as text, in the format that Prometheus reads.
+//! Metrics page with counters, gauges and histograms in the OpenMetrics text format.
 
 use std::rc::Rc;
 
@@ -20,42 +20,42 @@
 use crate::page;
 use crate::relay::Relay;
 
-/// Where the metrics are.
+/// Path of the metrics page.
 pub const PATH: &str = "/metrics";
-/// Prefix of every name.
+/// Prefix of all metric names.
 const PREFIX: &str = "reachtally";
-/// Buckets of times: from 1 ms, doubling, to 32 s.
+/// Histogram buckets for times: from 1 ms to 32 s, doubling.
 const FIRST_BUCKET_S: f64 = 0.001;
 const BUCKETS: u16 = 16;
 
-/// Times of requests.
+/// Latency histograms and admission counters of requests.
 #[derive(Debug)]
 pub struct Times {
-    /// Until the first event of a stream.
+    /// Time to the first event of a stream.
     pub first_event: Histogram,
-    /// The longest gap between two events of a stream.
+    /// Longest gap between two events of a stream.
     pub longest_gap: Histogram,
-    /// Until the end of a whole answer.
+    /// Time to the end of a plain response.
     pub answer: Histogram,
-    /// Requests of services with several ranks.
+    /// Admission counters of services with several ranks.
     pub by_rank: ByRank,
 }
 
-/// The rank of a request: 0 is the most urgent, `beyond` is beyond its account's share.
+/// Rank of a request: 0 is the most urgent, `beyond` is beyond the share of its account.
 pub type RankLabel = [(&'static str, String); 1];
 
-/// Requests by rank, for services with several.
+/// Admission metrics by rank, for services with several ranks.
 #[derive(Debug)]
 pub struct ByRank {
-    /// That were decided on.
+    /// Requests that were subject to admission control.
     pub offered: Family<RankLabel, Counter>,
-    /// That were admitted, at once or later.
+    /// Requests that were admitted, immediately or after waiting.
     pub admitted: Family<RankLabel, Counter>,
-    /// That waited in this box.
+    /// Requests that waited in this box.
     pub queued: Family<RankLabel, Counter>,
-    /// That were refused.
+    /// Requests that were refused.
     pub shed: Family<RankLabel, Counter>,
-    /// Time that admitted ones had waited.
+    /// Time that admitted requests had waited.
     pub wait: Family<RankLabel, Histogram, fn() -> Histogram>,
 }
 
@@ -71,7 +71,7 @@
     }
 }
 
-/// A histogram of times.
+/// Returns a histogram of times in seconds.
 fn seconds() -> Histogram {
     Histogram::new(exponential_buckets(FIRST_BUCKET_S, 2.0, BUCKETS))
 }
@@ -87,7 +87,7 @@
     }
 }
 
-/// The counters at one moment.
+/// Snapshot of the counters.
 #[derive(Debug)]
 struct Snapshot(Tally);
 
@@ -103,11 +103,12 @@
     }
 }
 
-/// All metrics as text, counters first: the page may be collected only in part, and the histograms take most of it.
+/// Returns all metrics as text. Counters come first, since a scraper may read only part of the page and the
+/// histograms take up most of it.
 pub fn text(relay: &Relay) -> String {
     let mut text = String::new();
     if let Err(err) = encode(&mut text, relay) {
-        log::warn!(event = "metrics-failed", why:% = err; "the metrics were not encoded");
+        log::warn!(event = "metrics-failed", why:% = err; "failed to encode the metrics");
     }
     text
 }
@@ -206,7 +207,7 @@
     registry
 }
 
-/// Serve the metrics until the process ends.
+/// Serves the metrics page until the process exits.
 pub async fn run(relay: Rc<Relay>, listener: TcpListener) {
     let respond = move |req: &Request<Incoming>| respond(&relay, req);
     page::serve(listener, "metrics", respond).await;
--- a/reachtally-relay/src/occupied.rs
+++ b/reachtally-relay/src/occupied.rs
@@ -1,4 +1,4 @@
-//! Guards that count connections and requests while they live.
+//! Guards that count open connections and running requests until they are dropped.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -8,39 +8,39 @@
 
 use crate::relay::Relay;
 
-/// Counts a caller's connection until it is dropped.
-pub struct OpenConnection(Rc<Relay>);
+/// Counts a caller's connection as open until it is dropped.
+pub struct ConnectionGuard(Rc<Relay>);
 
-impl OpenConnection {
-    /// Count a connection.
+impl ConnectionGuard {
+    /// Counts a connection as open.
     pub fn new(relay: &Rc<Relay>) -> Self {
-        relay.lifecycle.opened();
-        OpenConnection(relay.clone())
+        relay.lifecycle.connection_opened();
+        ConnectionGuard(relay.clone())
     }
 }
 
-impl Drop for OpenConnection {
+impl Drop for ConnectionGuard {
     fn drop(&mut self) {
-        self.0.lifecycle.closed();
+        self.0.lifecycle.connection_closed();
     }
 }
 
-/// Counts a request on its engines until it is dropped.
+/// Counts a request as running on its engines until it is dropped.
 pub struct Occupied {
     relay: Rc<Relay>,
-    /// The service of its targets.
+    /// Service of the engines.
     service: Option<Arc<str>>,
     engines: Vec<EngineKey>,
     tokens: f64,
-    /// Tokens that are not known to be read yet, and the engines that read them.
+    /// Prompt tokens whose prefill is not known to be complete, and the engines that process them.
     reading: f64,
     readers: Vec<EngineKey>,
     was_refused: Cell<bool>,
 }
 
 impl Occupied {
-    /// Count a request that holds `tokens` of KV on average on `engines`, which read a prompt of `prompt` tokens
-    /// first.
+    /// Counts a request that occupies `tokens` of KV cache on average on `engines`, after the prefill of a prompt
+    /// of `prompt` tokens.
     pub fn new(relay: &Rc<Relay>, engines: Vec<EngineKey>, tokens: f64, prompt: f64) -> Self {
         let mut fleet = relay.fleet.borrow_mut();
         fleet.begin(&engines, tokens);
@@ -61,7 +61,8 @@
         }
     }
 
-    /// Notes that an engine refused the request for want of room. It has run nowhere, so its end leaves no room for another.
+    /// Records that an engine refused the request for lack of capacity. The request has run nowhere, so its end
+    /// frees no capacity for another.
     pub fn refused(&self) {
         self.was_refused.set(true);
         if let Some(service) = &self.service {
@@ -69,12 +70,12 @@
         }
     }
 
-    /// Count the request on `engines` from now on; those that are new read `prompt` tokens first.
+    /// Moves the request to `engines`, of which the new ones first prefill `prompt` tokens.
     pub fn move_to(&mut self, engines: Vec<EngineKey>, prompt: f64) {
         self.end_reading();
         let is_new = |key: &EngineKey| !self.engines.contains(key);
         self.readers = engines.iter().copied().filter(is_new).collect();
-        // Each engine of a path counts its part of the prompt.
+        // Each engine of a path counts its share of the prompt.
         self.reading = prompt * self.readers.len() as f64 / engines.len().max(1) as f64;
         let mut fleet = self.relay.fleet.borrow_mut();
         fleet.end(&self.engines, self.tokens);
@@ -83,7 +84,7 @@
         self.engines = engines;
     }
 
-    /// The prompt was read.
+    /// Records that the prefill is complete.
     pub fn end_reading(&mut self) {
         let read = std::mem::take(&mut self.reading);
         if read > 0.0 {
@@ -92,7 +93,7 @@
         }
     }
 
-    /// The engines.
+    /// Returns the engines that the request runs on.
     pub fn engines(&self) -> &[EngineKey] {
         &self.engines
     }
--- a/reachtally-relay/src/page.rs
+++ b/reachtally-relay/src/page.rs
@@ -1,4 +1,4 @@
-//! Small listeners that answer each question at once: readiness and metrics.
+//! HTTP listener for pages that need no asynchronous work: readiness and metrics.
 
 use std::convert::Infallible;
 
@@ -12,7 +12,7 @@
 use crate::accept;
 use crate::answer::Body;
 
-/// Answer questions with `respond` until the process ends; `name` is for the log.
+/// Answers requests with `respond` until the process exits; `name` identifies the listener in the log.
 pub(crate) async fn serve(
     listener: TcpListener,
     name: &'static str,
@@ -37,6 +37,6 @@
         .serve_connection(TokioIo::new(stream), service)
         .await;
     if let Err(err) = served {
-        log::debug!(event = "connection-broke", listener = name, why:% = err; "a connection broke");
+        log::debug!(event = "connection-broke", listener = name, why:% = err; "connection failed");
     }
 }
--- a/reachtally-relay/src/quarantine.rs
+++ b/reachtally-relay/src/quarantine.rs
@@ -86,7 +86,7 @@
     /// Handles a connection that a target closed while it had a request. If nothing listens at its address any
     /// more, the run has ended and the request may be the cause. A cut or reset connection alone proves nothing.
     pub(crate) async fn target_broke_off(&self, call: &Call, to: &Recipient, progress: Progress) {
-        if !target::listens_no_more(to.address).await {
+        if !target::refuses_connections(to.address).await {
             return;
         }
         let end = End {
--- a/reachtally-relay/src/ready.rs
+++ b/reachtally-relay/src/ready.rs
@@ -1,4 +1,4 @@
-//! The readiness listener, which the balancer asks.
+//! Readiness listener, which the load balancer probes.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -11,12 +11,12 @@
 use crate::page;
 use crate::relay::Relay;
 
-/// Whether the box should get new connections.
+/// Returns whether the box should receive new connections.
 pub fn is_ready(relay: &Relay) -> bool {
     !relay.lifecycle.is_leaving() && relay.is_fresh() && relay.can_serve()
 }
 
-/// Answer the balancer on `path` until the process ends.
+/// Answers readiness probes on `path` until the process exits.
 pub async fn run(relay: Rc<Relay>, listener: TcpListener, path: &'static str) {
     let was_ready = Rc::new(Cell::new(false));
     let respond = move |req: &Request<Incoming>| respond(&relay, &was_ready, path, req);
--- a/reachtally-relay/src/relay.rs
+++ b/reachtally-relay/src/relay.rs
@@ -30,7 +30,7 @@
 use crate::lifecycle::Lifecycle;
 use crate::limits::LimitState;
 use crate::metrics::Times;
-use crate::occupied::OpenConnection;
+use crate::occupied::ConnectionGuard;
 use crate::quarantine::QuarantineState;
 use crate::rhythm::Rhythm;
 use crate::second_sends::SecondSends;
@@ -428,7 +428,8 @@
     /// Counts a request towards the second-send budget and the demand of its service.
     pub fn count_request(&self, service: &Arc<str>) {
         let bounds = self.settings.borrow().budget;
-        self.second_sends.first(service, self.now(), &bounds);
+        self.second_sends
+            .count_request(service, self.now(), &bounds);
         self.limits.count(service, self.now());
     }
 
@@ -526,7 +527,7 @@
     }
 
     /// Counts a caller's connection as open until the returned guard is dropped.
-    pub fn connection(self: &Rc<Self>) -> OpenConnection {
-        OpenConnection::new(self)
+    pub fn connection(self: &Rc<Self>) -> ConnectionGuard {
+        ConnectionGuard::new(self)
     }
 }
--- a/reachtally-relay/src/rhythm.rs
+++ b/reachtally-relay/src/rhythm.rs
@@ -1,49 +1,49 @@
-//! How often the store is read, and how old what other boxes tell may be, from the bounds that changes must
-//! keep.
+//! Intervals of store reads, and maximum ages of data from other boxes, derived from the configured bounds on
+//! the propagation of changes.
 //!
-//! Each read is a call to the store. Where a change may take four seconds to be in force, half as many reads
-//! keep the same part of the bound in hand as with two.
+//! Each read is a call to the store. If a change may take four seconds to take effect instead of two, half as
+//! many reads leave the same fraction of the bound as a margin.
 
 use std::time::Duration;
 
 use crate::relay::Settings;
 
-/// Shortest and longest wait of a read of the configuration. Such a read returns at once with a change; its
-/// end only shows that the reader still reaches the store.
+/// Minimum and maximum wait of a long-polling read of the configuration. The read returns immediately on a
+/// change; a read that ends without one only shows that the reader still reaches the store.
 const CONFIG_WAITS: [Duration; 2] = [Duration::from_millis(500), Duration::from_millis(1000)];
-/// Waits of the configuration within the time in which a change must be in force: two until others find a
-/// reader's confirmation too old, one until the next reader has read, one to spare.
+/// Number of configuration waits within the time in which a change must take effect: two until other boxes
+/// consider a reader's confirmation too old, one until the next reader has read, and one as a margin.
 const CONFIG_WAITS_WITHIN: u32 = 4;
-/// Shortest and longest time between two reads of the targets' changes. Waiting reads would return at every
-/// heartbeat of every target.
+/// Minimum and maximum time between two reads of target changes. Long polling would return at every heartbeat
+/// of every target.
 const TARGETS_INTERVALS: [Duration; 2] = [Duration::from_millis(400), Duration::from_millis(800)];
-/// Reads of the targets within the time in which a leaving target must get nothing.
+/// Number of target reads within the time in which a leaving target must stop receiving requests.
 const TARGETS_READS_WITHIN: u32 = 5;
-/// Beside two waits, the time that a read takes.
+/// Time allowed for a configuration read in addition to two waits.
 const READ_SLACK: Duration = Duration::from_millis(200);
-/// Beside two intervals, the time that a failed read of the targets takes.
+/// Time allowed for a failed read of the targets in addition to two intervals.
 const TARGETS_SLACK: Duration = Duration::from_millis(700);
-/// Kept of the drain bound for requests on their way and for the time from box to box.
+/// Part of the drain bound that is reserved for requests in flight and for propagation between boxes.
 const DRAIN_SLACK: Duration = Duration::from_millis(1100);
 
-/// Times of reading and telling on.
+/// Intervals of store reads, and maximum ages of data from other boxes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Rhythm {
-    /// Longest wait of one read of the configuration.
+    /// Maximum wait of one read of the configuration.
     pub config_wait: Duration,
-    /// Time between two reads of the targets' changes.
+    /// Time between two reads of target changes.
     pub targets_interval: Duration,
-    /// A box whose confirmation of the configuration is older than this is no good source. Each read confirms
-    /// as of its beginning, so ages up to twice its wait are usual.
+    /// Maximum age of the configuration of a box that serves as a source for others. A read confirms the
+    /// configuration as of its start, so ages up to twice the wait are normal.
     pub sound_age: Duration,
-    /// The same for its targets.
+    /// Maximum age of the targets of a box that serves as a source for others.
     pub sound_targets_age: Duration,
-    /// Time for which a missing entry may come back.
+    /// Time within which a missing entry may reappear.
     pub missing_patience: Duration,
 }
 
 impl Rhythm {
-    /// The times for these bounds.
+    /// Computes the intervals for the bounds in `settings`.
     pub fn of(settings: &Settings) -> Self {
         let [least, most] = CONFIG_WAITS;
         let config_wait = (settings.apply_within / CONFIG_WAITS_WITHIN).clamp(least, most);
--- a/reachtally-relay/src/shares.rs
+++ b/reachtally-relay/src/shares.rs
@@ -1,4 +1,4 @@
-//! Fair shares of client accounts: the requests of this box's callers, and the shares that its collector told.
+//! Fair shares of client accounts: request rates of this box, and the shares that its collector assigned.
 
 use std::cell::RefCell;
 use std::sync::Arc;
@@ -12,23 +12,23 @@
 
 use crate::relay::Relay;
 
-/// State of the shares.
+/// State of the fair shares.
 #[derive(Debug, Default)]
 pub(crate) struct ShareState {
     usage: RefCell<Usage>,
     believed: RefCell<Believed>,
-    /// A service has become contended at this box.
+    /// Notified when a service becomes contended at this box.
     pub contended: Notify,
 }
 
 impl Relay {
-    /// Whether the configuration has client accounts; without them nothing is counted or shared.
+    /// Returns whether the configuration has client accounts. Without any, nothing is counted or shared.
     fn has_accounts(&self) -> bool {
         let table = self.configuration.table();
         table.is_some_and(|table| table.account_names().next().is_some())
     }
 
-    /// Counts a request of `account` for `service` that the configuration allows. Requests without an account count as one account's.
+    /// Counts an authorized request of `account` for `service`. Requests without an account count as one account.
     pub fn note_offered(&self, service: &Arc<str>, account: Option<&str>, now: Instant) {
         if self.has_accounts() {
             let mut usage = self.shares.usage.borrow_mut();
@@ -36,22 +36,22 @@
         }
     }
 
-    /// Counts a request for `service` that was admitted.
+    /// Counts an admitted request for `service`.
     pub fn note_admitted(&self, service: &Arc<str>, now: Instant) {
         if self.has_accounts() {
             self.shares.usage.borrow_mut().count_admitted(service, now);
         }
     }
 
-    /// Notes that a request for `service` waits for admission, or was refused by it.
+    /// Marks `service` as contended, since a request waits for admission or was refused.
     pub fn note_contended(&self, service: &Arc<str>, now: Instant) {
         if self.has_accounts() && self.shares.usage.borrow_mut().note_contended(service, now) {
             self.shares.contended.notify_one();
         }
     }
 
-    /// Whether a request of `account` for `service` is within the account's share; `draw` is a well-spread number of the request. It is
-    /// asked once per request, since requests beyond the share are counted.
+    /// Returns whether a request of `account` for `service` is within the account's share. `draw` is a uniformly
+    /// distributed hash of the request. Called once per request, since it counts requests beyond the share.
     pub fn standing(
         &self,
         service: &str,
@@ -70,13 +70,13 @@
         standing
     }
 
-    /// Number of client accounts above their share, as told to this box.
+    /// Returns the number of client accounts above their share, as reported to this box.
     pub fn accounts_beyond_share(&self) -> usize {
         let now = self.now();
         self.shares.believed.borrow().accounts_beyond(now)
     }
 
-    /// Returns the rates of the services that are contended here or elsewhere.
+    /// Returns the rates of the services that are contended at this or another box.
     pub(crate) fn contended_rates(&self) -> Vec<ServiceRates> {
         if !self.has_accounts() {
             return Vec::new();
@@ -87,13 +87,13 @@
         self.shares.usage.borrow_mut().rates(is_contended, now)
     }
 
-    /// Applies the shares that a collector told.
+    /// Applies shares received from a collector.
     pub(crate) fn update_shares(&self, shares: AccountShares) {
         let now = self.now();
         self.shares.believed.borrow_mut().update(shares, now);
     }
 
-    /// Logs the accounts that crossed their share.
+    /// Logs the accounts whose rate crossed their share in either direction.
     pub(crate) fn log_crossings(&self, changes: &[Change]) {
         let table = self.configuration.table();
         for change in changes {
@@ -106,10 +106,10 @@
                     share,
                     fraction,
                 } => {
-                    log::info!(event = "account-beyond-share", service = &*change.service, account = name, digest = change.account.0, per_s = rate, share = share, fraction = fraction; "a client account sends more than its share of a contended service");
+                    log::info!(event = "account-beyond-share", service = &*change.service, account = name, digest = change.account.0, per_s = rate, share = share, fraction = fraction; "client account exceeds its share of a contended service");
                 }
                 Crossing::Within => {
-                    log::info!(event = "account-within-share", service = &*change.service, account = name, digest = change.account.0; "a client account is back within its share, or the service is not contended any more");
+                    log::info!(event = "account-within-share", service = &*change.service, account = name, digest = change.account.0; "client account is within its share again, or the service is no longer contended");
                 }
             }
         }
--- a/reachtally-relay/src/slow_engines.rs
+++ b/reachtally-relay/src/slow_engines.rs
@@ -1,4 +1,4 @@
-//! Engines that may be slow.
+//! Queue of engines that may be slow.
 
 use std::cell::RefCell;
 use std::collections::HashSet;
@@ -7,23 +7,23 @@
 use reachtally_core::forward::fleet::EngineKey;
 use tokio::sync::Notify;
 
-/// Engines that may be slow, until somebody takes them.
+/// Set of engines that may be slow and have not been queried yet.
 #[derive(Debug, Clone, Default)]
 pub struct SlowEngines {
     keys: Rc<RefCell<HashSet<EngineKey>>>,
-    arrived: Rc<Notify>,
+    added: Rc<Notify>,
 }
 
 impl SlowEngines {
-    /// A stream over these engines is slow.
+    /// Adds the engines of a slow stream.
     pub fn add(&self, engines: &[EngineKey]) {
         self.keys.borrow_mut().extend(engines);
-        self.arrived.notify_one();
+        self.added.notify_one();
     }
 
-    /// Wait for engines, and take all of them.
+    /// Waits until the set is not empty, then takes all engines.
     pub async fn recv(&mut self) -> Vec<EngineKey> {
-        self.arrived.notified().await;
+        self.added.notified().await;
         self.keys.borrow_mut().drain().collect()
     }
 }
--- a/reachtally-relay/src/store.rs
+++ b/reachtally-relay/src/store.rs
@@ -1,4 +1,4 @@
-//! The platform's store as the relay uses it, with typed answers.
+//! Traits of the platform's store and of orders to engines, with typed results.
 
 use std::future::Future;
 use std::net::SocketAddr;
@@ -18,27 +18,27 @@
 
 use crate::wire::Statement;
 
-/// Why a call to the store yielded nothing.
+/// Error of a call to the store.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum StoreError {
-    /// The records asked for are no longer kept.
+    /// The requested records are no longer retained.
     Gone,
-    /// The store did nothing: it is busy, over its rate, or turns this box away.
+    /// The store refused the call: it is busy, over its rate limit, or rejects this box.
     Refused(u16),
-    /// No connection came about.
+    /// The connection to the store failed.
     Unreachable,
-    /// No answer came in time, or it broke off; the call may have been done.
+    /// The response timed out or broke off. The call may have taken effect.
     Lost,
-    /// The answer does not decode.
+    /// The response could not be decoded.
     Malformed(String),
-    /// The answer is of an earlier era of the store, and came late.
+    /// The response arrived late and belongs to an earlier era of the store.
     Outdated,
-    /// The store came back from a copy: what was asked for by offset is of an earlier era.
+    /// The store was restored from a backup; the requested offset belongs to an earlier era.
     EraChanged,
 }
 
 impl StoreError {
-    /// Whether the newest records must be read next, since there is nothing to read on from.
+    /// Returns whether to read the newest records next, since reading cannot continue from the last position.
     pub fn needs_newest(&self) -> bool {
         matches!(self, StoreError::Gone | StoreError::Malformed(_))
     }
@@ -47,29 +47,29 @@
 impl std::fmt::Display for StoreError {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         match self {
-            StoreError::Gone => f.write_str("the records are no longer kept"),
+            StoreError::Gone => f.write_str("the requested records are no longer retained"),
             StoreError::Refused(status) => write!(f, "refused with status {status}"),
-            StoreError::Unreachable => f.write_str("no connection"),
-            StoreError::Lost => f.write_str("no answer in time"),
-            StoreError::Malformed(why) => write!(f, "malformed answer: {why}"),
-            StoreError::Outdated => f.write_str("a late answer of an earlier era"),
-            StoreError::EraChanged => f.write_str("the store came back from a copy"),
+            StoreError::Unreachable => f.write_str("failed to connect to the store"),
+            StoreError::Lost => f.write_str("no complete response in time"),
+            StoreError::Malformed(why) => write!(f, "malformed response: {why}"),
+            StoreError::Outdated => f.write_str("late response of an earlier era"),
+            StoreError::EraChanged => f.write_str("the store was restored from a backup"),
         }
     }
 }
 
-/// A number of a record, which says nothing without the era that it is of: it has no order.
+/// Number of a record. It has no order, since offsets of different eras cannot be compared.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct Offset(pub u64);
 
-/// What a read yields.
+/// Result of a read.
 #[derive(Debug, Clone)]
 pub struct Feed<T> {
-    /// Its records, oldest first.
+    /// Records, oldest first.
     pub items: Vec<T>,
-    /// Where to read on.
+    /// Offset at which to continue reading.
     pub next: Offset,
-    /// The era that the answer names.
+    /// Era named in the response.
     pub era: Option<Era>,
 }
 
@@ -78,116 +78,116 @@
 pub enum TargetChange {
     /// A target wrote its entry.
     Wrote(Entry),
-    /// A target's entry is gone.
+    /// A target's entry was removed.
     Gone(Arc<str>),
-    /// Another writer spoiled a target's entry: it names no target to use.
+    /// A target's entry was overwritten by another writer and does not decode.
     Spoiled(SpoiledEntry),
 }
 
 /// An entry that does not decode.
 #[derive(Debug, Clone)]
 pub struct SpoiledEntry {
-    /// Its target's id.
+    /// Id of the target.
     pub id: Arc<str>,
-    /// What is wrong with it.
+    /// Description of the problem.
     pub why: String,
 }
 
-/// A change to what the store keeps of requests that targets ended under.
+/// Change to the evidence on suspect requests that is kept in the store.
 #[derive(Debug, Clone, PartialEq)]
 pub enum SuspectChange {
-    /// Keep this as long as it lives.
+    /// Store this evidence until it expires.
     Keep(quarantine::Told),
-    /// Its time is over.
+    /// Remove the evidence on this request, which has expired.
     Drop(Fingerprint),
 }
 
-/// What this box holds in the group of boxes.
+/// Membership of this box in the group of boxes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct Membership {
-    /// Rises with each change of the group, within an era.
+    /// Increases with each change of the group within an era.
     pub generation: u64,
-    /// The era that the answer names.
+    /// Era named in the response.
     pub era: Option<Era>,
-    /// Whether this box holds the steward's part.
+    /// Whether this box holds the steward role.
     pub is_steward: bool,
 }
 
-/// The store.
+/// Store of the platform.
 pub trait Store {
-    /// The newest configuration as published, if there is one.
+    /// Reads the newest configuration as published, if there is one.
     fn config(&self) -> impl Future<Output = Result<Feed<Bytes>, StoreError>>;
 
-    /// Configurations from `offset` on; waits up to `wait` for the first.
+    /// Reads the configurations from `offset` on; waits up to `wait` for the first.
     fn config_from(
         &self,
         offset: Offset,
         wait: Duration,
     ) -> impl Future<Output = Result<Feed<Bytes>, StoreError>>;
 
-    /// All targets' entries; none is told to be gone.
+    /// Reads the entries of all targets. The result contains no [`TargetChange::Gone`].
     fn targets(&self) -> impl Future<Output = Result<Feed<TargetChange>, StoreError>>;
 
-    /// Changes to the list of targets from `offset` on, without waiting.
+    /// Reads the target changes from `offset` on, without waiting.
     fn targets_from(
         &self,
         offset: Offset,
     ) -> impl Future<Output = Result<Feed<TargetChange>, StoreError>>;
 
-    /// What is kept of requests that targets ended under, also what is over.
+    /// Reads the stored evidence on suspect requests, including expired evidence.
     fn suspects(&self) -> impl Future<Output = Result<Vec<quarantine::Told>, StoreError>>;
 
-    /// Change what is kept of such requests.
+    /// Changes the stored evidence on suspect requests.
     fn change_suspects(
         &self,
         changes: &[SuspectChange],
     ) -> impl Future<Output = Result<(), StoreError>>;
 
-    /// Join the group of boxes, or stay in it, for `ttl`.
+    /// Joins the group of boxes or renews the membership, for `ttl`.
     fn join(
         &self,
         ttl: Duration,
         generation: u64,
     ) -> impl Future<Output = Result<Membership, StoreError>>;
 
-    /// The boxes of the group, this one included.
+    /// Reads the members of the group, including this box.
     fn members(&self) -> impl Future<Output = Result<Vec<Member>, StoreError>>;
 }
 
-/// What an engine answered to an order.
+/// Response of an engine to an order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum OrderAnswer {
-    /// It has begun.
+    /// The engine has begun to execute the order.
     Begun,
-    /// It holds already.
+    /// The engine already holds the layers.
     Holds,
-    /// It does not fit the engine's state, or another order came before it.
+    /// The order does not match the engine's state, or another order preceded it.
     Conflict,
-    /// The engine has seen a higher token: another box is the steward by now.
+    /// The engine has seen a higher fencing token: another box has become the steward.
     Superseded,
-    /// The engine is at work on another order, so none was given.
+    /// No order was sent, since the engine is executing another one.
     Occupied,
-    /// The engine leaves, or wants rest, so none was given.
+    /// No order was sent, since the engine is leaving or asks for back-off.
     Unwilling,
-    /// The engine refused it for another reason.
+    /// The engine refused the order for another reason.
     Refused(u16),
-    /// No answer; it may be carried out, also later.
+    /// No response; the order may still be executed, also later.
     Lost,
 }
 
-/// What came of a question or an order, and what the engine said of itself meanwhile.
+/// Result of a query or an order, with the engine's statement about itself.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Told<T> {
-    /// What came of it.
+    /// Result of the query or order.
     pub answer: T,
-    /// What the engine said of itself.
+    /// Statement of the engine about itself.
     pub said: Statement,
 }
 
-/// Orders to engines, and what they tell of themselves.
+/// Orders to engines, and queries of their state.
 pub trait Orders {
-    /// Let an engine hold the layers of `placed`, unless another order reaches it in between, or one with a higher token
-    /// did before.
+    /// Orders an engine to hold the layers of `placed`. The engine refuses if another order reaches it in between,
+    /// or if it has received one with a higher fencing token.
     fn place(
         &self,
         engine: &Engine,
@@ -195,28 +195,29 @@
         permit: Permit,
     ) -> impl Future<Output = Told<OrderAnswer>>;
 
-    /// How much longer an engine takes than it should, 1 if it is well; `None` if it does not tell.
+    /// Queries the slowdown factor of an engine, 1 if it runs normally; `None` if the engine does not report it.
     fn pace(&self, engine: &Engine) -> impl Future<Output = Told<Option<f64>>>;
 }
 
-/// What the first engine of a path answered to the order to repair it.
+/// Response of the first engine of a path to the order to repair the path.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RepairAnswer {
-    /// The request goes on over the new path within the same answer.
+    /// The request continues over the new path within the same response.
     Begun,
-    /// A part of the new path is not there or has no room: that of the engine at this address, if it was named.
+    /// Part of the new path is missing or has no capacity: the one on the engine at this address, if it was named.
     Conflict(Option<SocketAddr>),
-    /// It refused for another reason; it may not know the request or the order.
+    /// The engine refused for another reason; it may not know the request or the order.
     Refused(u16),
-    /// No answer; the repair may be carried out, also later.
+    /// No response; the repair may still be executed, also later.
     Lost,
 }
 
-/// The answer to an order to repair a path, once it is there.
+/// Future of the response to an order to repair a path.
 pub type Repairing = Pin<Box<dyn Future<Output = Told<RepairAnswer>>>>;
 
-/// Orders to repair the path of a request that is running. They are no sends: an engine runs nothing twice for one.
+/// Orders to repair the path of a running request. They do not count as sends, since no engine runs anything
+/// twice for them.
 pub trait Repair {
-    /// Lets the engine at `first` go on with its running request `id` over `path`, whose first part is the same as before.
+    /// Orders the engine at `first` to continue its running request `id` over `path`, whose first part is unchanged.
     fn repair(&self, first: SocketAddr, id: &str, path: &Path) -> Repairing;
 }
--- a/reachtally-relay/src/target.rs
+++ b/reachtally-relay/src/target.rs
@@ -1,7 +1,7 @@
-//! One request on one connection to a target.
+//! Connections to targets, and the exchange of one request on them.
 //!
-//! A request that may not be repeated has a connection of its own. So nothing of an earlier answer can
-//! stand where its own is due, and a connection that came about proves that the target listened.
+//! A request that may not be repeated gets a new connection. So no data of an earlier response can be taken
+//! for its own, and a successful connect proves that the target was listening.
 
 use std::io::ErrorKind;
 use std::net::SocketAddr;
@@ -17,27 +17,27 @@
 use tokio::net::TcpStream;
 use tokio::task::JoinHandle;
 
-/// Time for a connection to come about: links take under 10 ms, and a lost opening packet is sent
-/// again only after a second, so a second try elsewhere is better than waiting.
+/// Connect timeout. Links take under 10 ms, and a lost SYN is retransmitted only after a second, so trying
+/// another target is better than waiting.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(150);
 
-/// Time for a connection that only shows whether a target is there.
-const CHECK_TIMEOUT: Duration = Duration::from_millis(80);
+/// Connect timeout of probes.
+const PROBE_TIMEOUT: Duration = Duration::from_millis(80);
 
 /// Result of a probe.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Probe {
     /// The target accepts connections.
     Accepted,
-    /// Its machine is there, and nothing listens.
+    /// The machine is up, and nothing listens on the port.
     Refused,
-    /// No answer, or a failure of this system.
+    /// No response, or a local failure.
     Silent,
 }
 
-/// Opens a connection to `address` only to see whether it is accepted.
+/// Probes whether `address` accepts connections.
 pub async fn probe(address: SocketAddr) -> Probe {
-    match dial(address, CHECK_TIMEOUT).await {
+    match dial(address, PROBE_TIMEOUT).await {
         Ok(_) => Probe::Accepted,
         Err(DialError::Refused(err)) if err.kind() == ErrorKind::ConnectionRefused => {
             Probe::Refused
@@ -46,17 +46,17 @@
     }
 }
 
-/// Whether nothing listens at `address` any more: a machine is there and says so.
-pub(crate) async fn listens_no_more(address: SocketAddr) -> bool {
+/// Returns whether the machine at `address` is up and actively refuses connections.
+pub(crate) async fn refuses_connections(address: SocketAddr) -> bool {
     probe(address).await == Probe::Refused
 }
 
-/// Why no connection came about.
+/// Reason for a failure to connect.
 #[derive(Debug)]
 pub enum DialError {
-    /// The other end, or this system, said no.
+    /// The connection was refused by the remote end or failed locally.
     Refused(std::io::Error),
-    /// Nobody said anything: the other end is without power or cut off, or a packet was lost.
+    /// The connection timed out: the remote end is down or partitioned, or a packet was lost.
     Silent,
 }
 
@@ -69,37 +69,38 @@
     }
 }
 
-/// Open a connection within `patience`.
+/// Opens a TCP connection within `timeout`.
 ///
 /// # Errors
 /// See [`DialError`].
-pub(crate) async fn dial(address: SocketAddr, patience: Duration) -> Result<TcpStream, DialError> {
-    match tokio::time::timeout(patience, TcpStream::connect(address)).await {
+pub(crate) async fn dial(address: SocketAddr, timeout: Duration) -> Result<TcpStream, DialError> {
+    match tokio::time::timeout(timeout, TcpStream::connect(address)).await {
         Ok(Ok(stream)) => Ok(stream),
         Ok(Err(err)) => Err(DialError::Refused(err)),
         Err(_) => Err(DialError::Silent),
     }
 }
 
-/// Let a connection send small packets at once.
+/// Disables Nagle's algorithm, so that small packets are sent immediately.
 pub(crate) fn send_at_once(stream: &TcpStream) {
     if let Err(err) = stream.set_nodelay(true) {
-        log::debug!(event = "nodelay", why:% = err; "a connection waits for full packets");
+        log::debug!(event = "nodelay", why:% = err; "failed to set TCP_NODELAY; small packets may be delayed");
     }
 }
 
-/// Why there is no answer.
+/// Reason for a missing response.
 #[derive(Debug)]
 pub enum SendError {
-    /// No connection came about; no byte was sent.
+    /// The connect failed; no byte was sent.
     NotConnected(DialError),
-    /// The connection broke; the request may have run.
+    /// The connection failed; the request may have run.
     Broken(String),
-    /// A connection that was kept broke, which says nothing of the target; the request may have run.
+    /// A reused connection failed, which says nothing about the target; the request may have run.
     Stale(String),
 }
 
-/// Drives a connection, or the reading of a stream. Dropping it ends that, which cancels what runs at the other end.
+/// Task that drives a connection or reads a stream. Dropping it aborts the task, which cancels the request at
+/// the remote end.
 #[derive(Debug)]
 pub struct Driver(pub(crate) JoinHandle<()>);
 
@@ -109,7 +110,7 @@
     }
 }
 
-/// An open connection to a target. Dropping it closes it.
+/// Open connection to a target. It is closed when dropped.
 #[derive(Debug)]
 pub struct Connection {
     address: SocketAddr,
@@ -117,22 +118,22 @@
     _driver: Driver,
 }
 
-/// An answer with the connection that carries its body.
+/// Response of a target, with the connection that carries its body.
 #[derive(Debug)]
 pub struct Answer {
-    /// Its head and body.
+    /// Head and body.
     pub response: Response<Incoming>,
-    /// Keep it as long as the body is read.
+    /// Connection, which must be kept while the body is read.
     pub connection: Connection,
-    /// Whether an earlier answer came over the connection.
+    /// Whether the connection has carried an earlier response.
     pub is_reused: bool,
 }
 
 impl Connection {
-    /// Open a connection to `address`.
+    /// Opens a connection to `address`.
     ///
     /// # Errors
-    /// [`SendError::NotConnected`] if none came about in time.
+    /// [`SendError::NotConnected`] if the connect fails or times out.
     pub async fn open(address: SocketAddr) -> Result<Connection, SendError> {
         let dialled = dial(address, CONNECT_TIMEOUT).await;
         let stream = dialled.map_err(SendError::NotConnected)?;
@@ -145,7 +146,7 @@
         })?;
         let driver = tokio::task::spawn_local(async move {
             if let Err(err) = connection.await {
-                log::debug!(event = "target-connection", why:% = err; "a connection to a target broke");
+                log::debug!(event = "target-connection", why:% = err; "connection to a target failed");
             }
         });
         Ok(Connection {
@@ -155,25 +156,25 @@
         })
     }
 
-    /// The other end.
+    /// Returns the remote address.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Whether the last answer is over and the target has not closed the connection.
+    /// Returns whether the last response is complete and the connection is still open.
     pub fn is_ready(&self) -> bool {
         self.sender.is_ready()
     }
 
-    /// Wait until the last answer is over; false if the connection is.
+    /// Waits until the last response is complete; returns false if the connection has closed.
     pub async fn ready(&mut self) -> bool {
         self.sender.ready().await.is_ok()
     }
 
-    /// Send a request.
+    /// Sends a request.
     ///
     /// # Errors
-    /// The request, if not a byte of it was sent; else why the connection broke.
+    /// Returns the reason for the failure, with the request if no byte of it was sent.
     pub async fn send(
         &mut self,
         req: Request<Full<Bytes>>,
@@ -182,7 +183,7 @@
     }
 }
 
-/// Send a request to `address` over a new connection.
+/// Sends a request to `address` over a new connection.
 ///
 /// # Errors
 /// See [`SendError`].
@@ -197,7 +198,7 @@
     })
 }
 
-/// Send a request that may run twice over a connection that was kept, or over a new one if it is closed.
+/// Sends a repeatable request over an idle connection, or over a new one if the idle one is closed.
 ///
 /// # Errors
 /// See [`SendError`].
@@ -218,5 +219,5 @@
     }
 }
 
-/// Most bytes buffered of a target's answer on each connection; a slow caller holds up only its own.
+/// Maximum number of response bytes buffered per connection. A slow caller delays only its own connection.
 const READ_BUFFER: usize = 64 * 1024;
--- a/reachtally-relay/src/unread.rs
+++ b/reachtally-relay/src/unread.rs
@@ -1,4 +1,4 @@
-//! How long a caller has taken nothing of what waits for it.
+//! Detects callers that stop reading their responses.
 
 use std::pin::Pin;
 use std::task::{Context, Poll};
@@ -6,31 +6,32 @@
 
 use tokio::time::{Instant, Sleep};
 
-/// Time between two looks at a caller that takes nothing.
-const LOOK_EVERY: Duration = Duration::from_millis(500);
+/// Time between two checks of a caller that does not read.
+const CHECK_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Time since a connection last took bytes, while some wait for it.
+/// Tracks for how long writes to a connection have been blocked.
 #[derive(Debug, Default)]
-pub(crate) struct Unread {
-    waiting: Option<(Instant, Pin<Box<Sleep>>)>,
+pub(crate) struct BlockedWrite {
+    blocked: Option<(Instant, Pin<Box<Sleep>>)>,
 }
 
-impl Unread {
-    /// Note what a write came to. Yields the time for which it seems that the caller has taken nothing, now and then.
+impl BlockedWrite {
+    /// Records the result of a write. While writes are blocked, returns periodically for how long the caller has
+    /// apparently not read.
     ///
-    /// The write comes first: where this process was stopped for a while, the caller may have read meanwhile.
-    pub fn note<T>(&mut self, cx: &mut Context<'_>, written: &Poll<T>) -> Option<Duration> {
+    /// The write must come first: if this process was suspended, the caller may have read in the meantime.
+    pub fn record<T>(&mut self, cx: &mut Context<'_>, written: &Poll<T>) -> Option<Duration> {
         if written.is_ready() {
-            self.waiting = None;
+            self.blocked = None;
             return None;
         }
-        let begin = || (Instant::now(), Box::pin(tokio::time::sleep(LOOK_EVERY)));
-        let (since, timer) = self.waiting.get_or_insert_with(begin);
+        let begin = || (Instant::now(), Box::pin(tokio::time::sleep(CHECK_INTERVAL)));
+        let (since, timer) = self.blocked.get_or_insert_with(begin);
         if timer.as_mut().poll(cx).is_pending() {
             return None;
         }
-        timer.as_mut().reset(Instant::now() + LOOK_EVERY);
-        // Registers the waker.
+        timer.as_mut().reset(Instant::now() + CHECK_INTERVAL);
+        // Register the waker for the next check.
         let _ = timer.as_mut().poll(cx);
         Some(since.elapsed())
     }
--- a/reachtally-relay/src/wire.rs
+++ b/reachtally-relay/src/wire.rs
@@ -1,4 +1,4 @@
-//! What the relay needs to know of a request and of an answer, whatever their headers are called.
+//! Decoded heads of requests and responses, independent of the names of their headers.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -10,131 +10,130 @@
 
 use crate::store::Repair;
 
-/// A request's head, decoded.
+/// Decoded head of a request.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct CallHead {
-    /// The caller's id for this attempt.
+    /// Id that the caller gave this attempt.
     pub id: String,
-    /// The key, if one was sent.
+    /// API key, if one was sent.
     pub key: Option<String>,
-    /// How long the caller will wait.
+    /// Time that the caller will wait.
     pub deadline: Option<Duration>,
-    /// Tokens of the prompt.
+    /// Number of tokens of the prompt.
     pub prompt_tokens: f64,
-    /// Most tokens of the answer.
+    /// Maximum number of tokens of the answer.
     pub most_answer_tokens: f64,
-    /// The caller's guess of the answer's tokens; right in the median.
+    /// Caller's estimate of the number of tokens of the answer, accurate in the median.
     pub answer_hint: Option<f64>,
-    /// The last event that the caller has, if it goes on with a stream.
+    /// Id of the last event that the caller has, if it resumes a stream.
     pub last_event: Option<u64>,
 }
 
-/// What the relay adds to a request for one target.
+/// Header values that the relay adds to a request for a target.
 #[derive(Debug, Clone, Copy)]
 pub struct Addition<'a> {
-    /// What is left of the deadline.
+    /// Time until the deadline.
     pub deadline: Duration,
-    /// The run of the target that is meant; any other refuses it.
+    /// Run of the target that must handle the request; any other run refuses it.
     pub target_run: &'a str,
-    /// The caller's account.
+    /// Client account of the caller.
     pub account: Option<&'a str>,
-    /// Priority of the request, 0 is the most urgent.
+    /// Priority, 0 is the most urgent.
     pub priority: u8,
-    /// The engines that hand it on among themselves.
+    /// Path of engines that pass the request on among themselves.
     pub path: Option<&'a Path>,
-    /// The last event that the caller has.
+    /// Id of the last event that the caller has.
     pub last_event: Option<u64>,
 }
 
-/// Load that a target reports with an answer.
+/// Load that a target reports with a response.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Load {
-    /// Requests it runs.
+    /// Number of running requests.
     pub running: u32,
-    /// Requests that wait there.
+    /// Number of requests queued at the target.
     pub waiting: u32,
-    /// Requests it can run at once.
+    /// Number of requests that the target can run at once.
     pub slots: u32,
 }
 
-/// What an answer says of its target's rate limit.
+/// Rate limit of a target as stated in a response.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
 pub enum LimitHeader {
-    /// It names none: the target has no limit, if the answer is its own.
+    /// No limit is stated. If the response comes from the target itself, it has none.
     #[default]
     Absent,
-    /// It names one that can't be read: what is known stays.
+    /// The stated limit could not be parsed; the known one stays valid.
     Malformed,
-    /// It names this limit.
+    /// The stated limit.
     Named(RateLimit),
 }
 
-/// What a target says of itself in an answer, whatever that is an answer to.
+/// Statement of a target about itself, in a response to any kind of request.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
 pub struct Statement {
-    /// How long this box should back off, if it says so.
+    /// Back-off that the target asks of this box.
     pub back_off: Option<Duration>,
-    /// Whether it says that it leaves.
+    /// Whether the target announces that it is leaving.
     pub is_leaving: bool,
-    /// Its rate limit.
+    /// Rate limit of the target.
     pub limit: LimitHeader,
 }
 
 impl Statement {
-    /// Whether it accepts orders, and questions that can wait.
+    /// Returns whether the target accepts orders, and queries that can wait.
     pub fn accepts_requests(&self) -> bool {
         !self.is_leaving && self.back_off.is_none()
     }
 }
 
-/// An answer's head, decoded.
+/// Decoded head of a response.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct AnswerHead {
-    /// The id of the request that it answers.
+    /// Id of the request that the response belongs to.
     pub id: Option<String>,
-    /// Whether the target vouches for it.
+    /// Whether the target vouches for the response.
     pub sealed: bool,
-    /// Whether the target says that it ran nothing of the request.
+    /// Whether the target states that it did not run the request.
     pub not_run: bool,
-    /// Whether the target named by the request is not there any more, or does not hold the layers that the
-    /// request needs of it.
+    /// Whether the target run named by the request no longer exists, or lacks layers that the request needs.
     pub misdirected: bool,
-    /// The engine of the path that is to blame, if another than the first.
+    /// Engine of the path that caused the failure, if not the first.
     pub at_fault: Option<SocketAddr>,
-    /// Load of the target.
+    /// Load of the target, if reported.
     pub load: Option<Load>,
-    /// What the target says of itself.
+    /// Statement of the target about itself.
     pub said: Statement,
 }
 
-/// Why a request's head can't be taken.
+/// Reason why a request head is invalid.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct BadHead(pub String);
 
-/// Decodes and encodes the heads of requests and answers, and decodes configurations.
+/// Decodes and encodes the heads of requests and responses, and decodes configurations.
 pub trait Wire {
-    /// Decode a configuration as published.
+    /// Decodes a configuration as published.
     ///
     /// # Errors
-    /// What is wrong with it, and where.
+    /// Returns the problem and its location if the configuration is invalid.
     fn config(&self, raw: &[u8]) -> Result<Table, String>;
 
-    /// Decode a caller's head.
+    /// Decodes the head of a caller's request.
     ///
     /// # Errors
-    /// What is wrong with it.
+    /// Returns the problem if the head is invalid.
     fn call(&self, headers: &HeaderMap) -> Result<CallHead, BadHead>;
 
-    /// The headers for a target: those of the caller that concern it, and `add`.
+    /// Returns the headers for a target: the caller's headers that are passed on, and those of `add`.
     fn forward(&self, headers: &HeaderMap, add: &Addition<'_>) -> HeaderMap;
 
-    /// Decode a target's head.
+    /// Decodes the head of a target's response.
     fn answer(&self, status: u16, headers: &HeaderMap) -> AnswerHead;
 
-    /// The headers of an answer that concern the caller.
+    /// Returns the headers of a response that are passed on to the caller.
     fn backward(&self, headers: &HeaderMap) -> HeaderMap;
 
-    /// Orders to repair paths, if engines take them.
+    /// Returns the interface for path repairs, if engines support them.
     fn repairs(&self) -> Option<&dyn Repair> {
         None
     }
