--- a/reachtally-relay/src/answer.rs
+++ b/reachtally-relay/src/answer.rs
@@ -30,7 +30,7 @@
 pub type Body = Pin<Box<dyn hyper::body::Body<Data = Bytes, Error = CutShort>>>;
 
 /// Average `Retry-After` as a fraction of the caller's remaining time. Engines that are full or under repair
-/// need a second or two, and callers follow up to a third.
+/// need a second or two, and callers honor values of up to a third of that time.
 const RETRY_AFTER_FRACTION: f64 = 0.08;
 /// Maximum of this `Retry-After`, before jitter.
 const MAX_RETRY_AFTER: Duration = Duration::from_secs(3);
--- a/reachtally-relay/src/eras.rs
+++ b/reachtally-relay/src/eras.rs
@@ -13,16 +13,16 @@
     ///
     /// # Errors
     /// [`StoreError::Outdated`] for a late response of an earlier era.
-    pub(crate) fn era_of(&self, told: Option<Era>, began: Instant) -> Result<Era, StoreError> {
+    pub(crate) fn era_of(&self, named: Option<Era>, began: Instant) -> Result<Era, StoreError> {
         let before = self.eras.get();
         let mut eras = before;
-        let era = eras.of_answer(told, began, self.now());
+        let era = eras.of_answer(named, began, self.now());
         self.eras.set(eras);
         if before.held() != eras.held() {
-            log::warn!(event = "store-era", era = eras.held().0, before = before.held().0, named:? = told.map(|era| era.0); "the era of the store changed; reading again all data that is tracked by offset");
+            log::warn!(event = "store-era", era = eras.held().0, before = before.held().0, named:? = named.map(|era| era.0); "the era of the store changed; reading again all data that is tracked by offset");
         }
         era.map_err(|Outdated| {
-            log::info!(event = "store-outdated", named:? = told.map(|era| era.0), held = eras.held().0; "ignored a late store response of an earlier era");
+            log::info!(event = "store-outdated", named:? = named.map(|era| era.0), held = eras.held().0; "ignored a late store response of an earlier era");
             StoreError::Outdated
         })
     }
@@ -44,15 +44,15 @@
 
     /// Merges the store's era as reported by another box. `age` is the time since the store was restored into
     /// this era, if it was restored.
-    pub(crate) fn hear_era(&self, told: Era, age: Option<Duration>) {
+    pub(crate) fn hear_era(&self, reported: Era, age: Option<Duration>) {
         let mut eras = self.eras.get();
         let is_changed = match age {
-            Some(age) => eras.hear_of_return(told, self.now().before(age)),
-            None => eras.hear(told, Some(self.now())),
+            Some(age) => eras.hear_of_return(reported, self.now().before(age)),
+            None => eras.hear(reported, Some(self.now())),
         };
         self.eras.set(eras);
         if is_changed {
-            log::info!(event = "store-era", era = told.0; "another box reported a new era of the store");
+            log::info!(event = "store-era", era = reported.0; "another box reported a new era of the store");
         }
     }
 
--- a/reachtally-relay/src/group.rs
+++ b/reachtally-relay/src/group.rs
@@ -50,12 +50,12 @@
 ///
 /// A few boxes of each failure domain are members. The other boxes do not load the store: they receive their
 /// data from members, and join when some of these are missing.
-pub async fn run<S: Store>(relay: Rc<Relay>, store: S, part: Part, run: Incarnation) {
+pub async fn run<S: Store>(relay: Rc<Relay>, store: S, role: Part, run: Incarnation) {
     wait_for_faster_boxes(&relay, &store, run).await;
     let mut membership = GroupMembership {
         relay,
         store,
-        part,
+        role,
         run,
         is_member: false,
         generation: Generation::default(),
@@ -75,7 +75,7 @@
             sleep(JOIN_INTERVAL).await;
         }
     }
-    membership.part.borrow_mut().revoke();
+    membership.role.borrow_mut().revoke();
 }
 
 /// Waits until boxes with faster links have joined, then reads the members.
@@ -101,17 +101,17 @@
         known => known,
     };
     let usual = DELAY_TIMES_MBPS / link_mbps;
-    let part = (run.0 % DELAY_STEPS) as f64 / DELAY_STEPS as f64;
+    let jitter = (run.0 % DELAY_STEPS) as f64 / DELAY_STEPS as f64;
     usual
         .min(MAX_DELAY)
-        .mul_f64(MIN_DELAY_FRACTION + part / 2.0)
+        .mul_f64(MIN_DELAY_FRACTION + jitter / 2.0)
 }
 
 /// Membership state of this box.
 struct GroupMembership<S> {
     relay: Rc<Relay>,
     store: S,
-    part: Part,
+    role: Part,
     run: Incarnation,
     is_member: bool,
     generation: Generation,
@@ -160,7 +160,7 @@
         }
         self.is_member = is_member;
         if !is_member {
-            self.part.borrow_mut().revoke();
+            self.role.borrow_mut().revoke();
         }
     }
 
@@ -190,7 +190,7 @@
             era,
             number: membership.generation,
         };
-        let has_lost_role = update_role(&self.part, membership.is_steward, generation, began);
+        let has_lost_role = update_role(&self.role, membership.is_steward, generation, began);
         self.generation = generation;
         self.joins_since_change = match self.relay.group_generation() < self.generation {
             true => self.joins_since_change + 1,
@@ -205,13 +205,13 @@
 }
 
 /// Updates the steward role as assigned by the group; returns whether this box just lost it.
-fn update_role(part: &Part, is_steward: bool, generation: Generation, began: Instant) -> bool {
-    let mut part = part.borrow_mut();
-    let was_steward = part.permit(began).is_some();
+fn update_role(role: &Part, is_steward: bool, generation: Generation, began: Instant) -> bool {
+    let mut role = role.borrow_mut();
+    let was_steward = role.permit(began).is_some();
     let until = began + MEMBER_TTL.saturating_sub(STEWARD_MARGIN);
     match is_steward {
-        true => part.grant(Token(generation), until),
-        false => part.revoke(),
+        true => role.grant(Token(generation), until),
+        false => role.revoke(),
     }
     if was_steward != is_steward {
         log::info!(event = "steward", is_steward = is_steward, generation = generation.number, era = generation.era.0; "steward role of this box changed");
--- a/reachtally-relay/src/occupied.rs
+++ b/reachtally-relay/src/occupied.rs
@@ -33,8 +33,8 @@
     engines: Vec<EngineKey>,
     tokens: f64,
     /// Prompt tokens whose prefill is not known to be complete, and the engines that process them.
-    reading: f64,
-    readers: Vec<EngineKey>,
+    pending_prompt: f64,
+    prefilling_engines: Vec<EngineKey>,
     was_refused: Cell<bool>,
 }
 
@@ -52,11 +52,11 @@
         }
         Occupied {
             relay: relay.clone(),
-            readers: engines.clone(),
+            prefilling_engines: engines.clone(),
             service,
             engines,
             tokens,
-            reading: prompt,
+            pending_prompt: prompt,
             was_refused: Cell::default(),
         }
     }
@@ -74,22 +74,23 @@
     pub fn move_to(&mut self, engines: Vec<EngineKey>, prompt: f64) {
         self.end_reading();
         let is_new = |key: &EngineKey| !self.engines.contains(key);
-        self.readers = engines.iter().copied().filter(is_new).collect();
+        self.prefilling_engines = engines.iter().copied().filter(is_new).collect();
         // Each engine of a path counts its share of the prompt.
-        self.reading = prompt * self.readers.len() as f64 / engines.len().max(1) as f64;
+        self.pending_prompt =
+            prompt * self.prefilling_engines.len() as f64 / engines.len().max(1) as f64;
         let mut fleet = self.relay.fleet.borrow_mut();
         fleet.end(&self.engines, self.tokens);
         fleet.begin(&engines, self.tokens);
-        fleet.begin_reading(&self.readers, self.reading);
+        fleet.begin_reading(&self.prefilling_engines, self.pending_prompt);
         self.engines = engines;
     }
 
     /// Records that the prefill is complete.
     pub fn end_reading(&mut self) {
-        let read = std::mem::take(&mut self.reading);
+        let read = std::mem::take(&mut self.pending_prompt);
         if read > 0.0 {
             let mut fleet = self.relay.fleet.borrow_mut();
-            fleet.end_reading(&self.readers, read);
+            fleet.end_reading(&self.prefilling_engines, read);
         }
     }
 
--- a/reachtally-relay/src/quarantine.rs
+++ b/reachtally-relay/src/quarantine.rs
@@ -130,16 +130,16 @@
     }
 
     /// Merges evidence from another box; returns whether any of it is new.
-    pub(crate) fn hear_suspects(&self, told: &[Told]) -> bool {
+    pub(crate) fn hear_suspects(&self, reported: &[Told]) -> bool {
         let now = self.now();
         let mut table = self.suspicion.table.borrow_mut();
         let mut is_changed = false;
-        for told in told {
-            let before = table.verdict(told.fingerprint);
-            is_changed |= table.hear(told, now);
-            let verdict = table.verdict(told.fingerprint);
+        for evidence in reported {
+            let before = table.verdict(evidence.fingerprint);
+            is_changed |= table.hear(evidence, now);
+            let verdict = table.verdict(evidence.fingerprint);
             if before != verdict {
-                log::info!(event = "suspect", fingerprint:% = told.fingerprint, before:? = before, verdict:? = verdict; "evidence from other boxes changed the verdict on a request");
+                log::info!(event = "suspect", fingerprint:% = evidence.fingerprint, before:? = before, verdict:? = verdict; "evidence from other boxes changed the verdict on a request");
                 self.notify_quarantined(verdict);
             }
         }
@@ -147,9 +147,9 @@
     }
 
     /// Merges evidence that earlier runs of boxes saved in the store.
-    pub(crate) fn take_over_suspects(&self, kept: &[Told]) {
-        if self.hear_suspects(kept) {
-            log::info!(event = "suspects-read", requests = kept.len(); "loaded suspect requests from the store");
+    pub(crate) fn take_over_suspects(&self, saved: &[Told]) {
+        if self.hear_suspects(saved) {
+            log::info!(event = "suspects-read", requests = saved.len(); "loaded suspect requests from the store");
             self.suspicion.news.notify_one();
         }
     }
@@ -163,7 +163,7 @@
         let table = self.suspicion.table.borrow();
         let unsaved = self.suspicion.unsaved.borrow();
         let change = |fingerprint: &Fingerprint| match table.tell(*fingerprint, now) {
-            Some(told) => SuspectChange::Keep(told),
+            Some(evidence) => SuspectChange::Keep(evidence),
             None => SuspectChange::Drop(*fingerprint),
         };
         unsaved.iter().map(change).collect()
@@ -173,14 +173,14 @@
     pub(crate) fn suspects_kept(&self, changes: &[SuspectChange]) {
         let now = self.now();
         let table = self.suspicion.table.borrow();
-        let is_current = |told: &Told| {
-            let held = table.tell(told.fingerprint, now);
-            held.is_some_and(|held| held.ends == told.ends)
+        let is_current = |evidence: &Told| {
+            let current = table.tell(evidence.fingerprint, now);
+            current.is_some_and(|current| current.ends == evidence.ends)
         };
         let mut unsaved = self.suspicion.unsaved.borrow_mut();
         for change in changes {
             match change {
-                SuspectChange::Keep(told) if is_current(told) => unsaved.remove(&told.fingerprint),
+                SuspectChange::Keep(kept) if is_current(kept) => unsaved.remove(&kept.fingerprint),
                 SuspectChange::Keep(_) => false,
                 SuspectChange::Drop(fingerprint) => unsaved.remove(fingerprint),
             };
--- a/reachtally-relay/src/relay.rs
+++ b/reachtally-relay/src/relay.rs
@@ -392,11 +392,11 @@
         let counted = self.remote_loads.borrow().boxes(domains);
         let members = self.members.borrow().len() as u32;
         let is_complete = self.are_reports_complete();
-        let least = match counted {
+        let min_boxes = match counted {
             Some(_) if is_complete => 1,
             _ => ASSUMED_BOXES,
         };
-        counted.unwrap_or_default().max(members).max(least)
+        counted.unwrap_or_default().max(members).max(min_boxes)
     }
 
     /// Returns this box's share of the connections that an instance of a plain service accepts from all boxes.
@@ -417,12 +417,12 @@
         if self.are_reports_complete() {
             return 1.0;
         }
-        let heard = self.remote_loads.borrow().domains_heard();
-        if heard == 0 {
+        let reporting_domains = self.remote_loads.borrow().domains_heard();
+        if reporting_domains == 0 {
             return f64::from(ASSUMED_BOXES);
         }
         let domains = peers::domains(&self.members.borrow()).len();
-        (domains as f64 / heard as f64).max(1.0)
+        (domains as f64 / reporting_domains as f64).max(1.0)
     }
 
     /// Counts a request towards the second-send budget and the demand of its service.
--- a/reachtally-relay/src/rhythm.rs
+++ b/reachtally-relay/src/rhythm.rs
@@ -10,15 +10,16 @@
 
 /// Minimum and maximum wait of a long-polling read of the configuration. The read returns immediately on a
 /// change; a read that ends without one only shows that the reader still reaches the store.
-const CONFIG_WAITS: [Duration; 2] = [Duration::from_millis(500), Duration::from_millis(1000)];
+const CONFIG_WAIT_RANGE: [Duration; 2] = [Duration::from_millis(500), Duration::from_millis(1000)];
 /// Number of configuration waits within the time in which a change must take effect: two until other boxes
 /// consider a reader's confirmation too old, one until the next reader has read, and one as a margin.
-const CONFIG_WAITS_WITHIN: u32 = 4;
+const CONFIG_WAITS_PER_APPLY_BOUND: u32 = 4;
 /// Minimum and maximum time between two reads of target changes. Long polling would return at every heartbeat
 /// of every target.
-const TARGETS_INTERVALS: [Duration; 2] = [Duration::from_millis(400), Duration::from_millis(800)];
+const TARGETS_INTERVAL_RANGE: [Duration; 2] =
+    [Duration::from_millis(400), Duration::from_millis(800)];
 /// Number of target reads within the time in which a leaving target must stop receiving requests.
-const TARGETS_READS_WITHIN: u32 = 5;
+const TARGETS_READS_PER_DRAIN_BOUND: u32 = 5;
 /// Time allowed for a configuration read in addition to two waits.
 const READ_SLACK: Duration = Duration::from_millis(200);
 /// Time allowed for a failed read of the targets in addition to two intervals.
@@ -45,10 +46,11 @@
 impl Rhythm {
     /// Computes the intervals for the bounds in `settings`.
     pub fn of(settings: &Settings) -> Self {
-        let [least, most] = CONFIG_WAITS;
-        let config_wait = (settings.apply_within / CONFIG_WAITS_WITHIN).clamp(least, most);
-        let [least, most] = TARGETS_INTERVALS;
-        let targets_interval = (settings.drain_within / TARGETS_READS_WITHIN).clamp(least, most);
+        let [min, max] = CONFIG_WAIT_RANGE;
+        let config_wait = (settings.apply_within / CONFIG_WAITS_PER_APPLY_BOUND).clamp(min, max);
+        let [min, max] = TARGETS_INTERVAL_RANGE;
+        let targets_interval =
+            (settings.drain_within / TARGETS_READS_PER_DRAIN_BOUND).clamp(min, max);
         Rhythm {
             config_wait,
             targets_interval,
--- a/reachtally-relay/src/slow_engines.rs
+++ b/reachtally-relay/src/slow_engines.rs
@@ -21,7 +21,7 @@
         self.added.notify_one();
     }
 
-    /// Waits until the set is not empty, then takes all engines.
+    /// Waits until engines are added, then takes all of them.
     pub async fn recv(&mut self) -> Vec<EngineKey> {
         self.added.notified().await;
         self.keys.borrow_mut().drain().collect()
--- a/reachtally-relay/src/steward.rs
+++ b/reachtally-relay/src/steward.rs
@@ -34,7 +34,7 @@
 }
 
 /// Runs placement while this box is the steward.
-pub async fn run<O: Orders>(relay: Rc<Relay>, part: Part, orders: O) {
+pub async fn run<O: Orders>(relay: Rc<Relay>, role: Part, orders: O) {
     let mut pending: HashMap<EngineKey, Pending> = HashMap::new();
     let mut known_engines = 0;
     let mut grown_at = relay.now();
@@ -46,14 +46,14 @@
             grown_at = now;
         }
         known_engines = count;
-        if part.borrow().permit(now).is_none() || now.since(grown_at) < SETTLE_TIME {
+        if role.borrow().permit(now).is_none() || now.since(grown_at) < SETTLE_TIME {
             continue;
         }
         remove_settled(&relay, &mut pending, now);
         for (model, service) in layered_services(&relay) {
             let hosts = hosts(&relay, &service, &model, &pending);
             let moves = placement::moves(&model, &hosts);
-            send_orders(&relay, &part, &orders, &mut pending, moves).await;
+            send_orders(&relay, &role, &orders, &mut pending, moves).await;
         }
     }
 }
@@ -110,7 +110,7 @@
 
 async fn send_orders<O: Orders>(
     relay: &Relay,
-    part: &Part,
+    role: &Part,
     orders: &O,
     pending: &mut HashMap<EngineKey, Pending>,
     moves: Vec<Move>,
@@ -124,13 +124,13 @@
         if pending.contains_key(&placed.engine) || !engine.accepts_requests(relay.now()) {
             continue;
         }
-        let Some(permit) = part.borrow().permit(relay.now()) else {
+        let Some(permit) = role.borrow().permit(relay.now()) else {
             continue;
         };
         sent.push(async move {
             let Told { answer, said } = orders.place(&engine, &placed, permit).await;
             relay.target_said(&engine.entry.run(), said);
-            if answer == OrderAnswer::Superseded && part.borrow_mut().superseded(permit) {
+            if answer == OrderAnswer::Superseded && role.borrow_mut().superseded(permit) {
                 log::info!(event = "superseded", target = &*engine.entry.id, token:? = permit.token(); "another box has become the steward");
             }
             relay.count(|tally| tally.orders_given += 1);
--- a/reachtally-relay/src/whole.rs
+++ b/reachtally-relay/src/whole.rs
@@ -117,8 +117,8 @@
 }
 
 fn choose(relay: &Relay, call: &Call, tried: &[EngineKey], limits: Limits) -> Option<Instance> {
-    let most = relay.most_connections(&call.service);
-    choose_with(relay, call, tried, limits, most)
+    let max_connections = relay.most_connections(&call.service);
+    choose_with(relay, call, tried, limits, max_connections)
 }
 
 fn choose_with(
@@ -126,7 +126,7 @@
     call: &Call,
     tried: &[EngineKey],
     limits: Limits,
-    most_connections: u32,
+    max_connections: u32,
 ) -> Option<Instance> {
     let settings = relay.settings.borrow();
     let fleet = relay.fleet.borrow();
@@ -134,14 +134,14 @@
         limits,
         ..relay.circumstance(&settings, tried, call.draw)
     };
-    select::instance(&fleet, &call.service_name, most_connections, &cx)
+    select::instance(&fleet, &call.service_name, max_connections, &cx)
 }
 
 /// Returns the time until instances that this box backs off from can serve the request.
 fn back_off_left(relay: &Relay, call: &Call) -> Option<Duration> {
     relay.back_off_left(&call.service_name, call.draw, |fleet, cx| {
-        let most = relay.most_connections(&call.service);
-        select::instance(fleet, &call.service_name, most, cx).is_some()
+        let max_connections = relay.most_connections(&call.service);
+        select::instance(fleet, &call.service_name, max_connections, cx).is_some()
     })
 }
 
