--- a/reachtally-protocol/src/codec.rs
+++ b/reachtally-protocol/src/codec.rs
@@ -1,4 +1,4 @@
-//! Messages to and from frames.
+//! Encodes messages into frames and decodes frames into messages.
 
 use bytes::{Bytes, BytesMut};
 use prost::Message as _;
@@ -11,29 +11,29 @@
 use crate::generated::peer as pb;
 use crate::{FRAME_MAX, Message};
 
-/// A frame that is no message.
+/// Why a frame could not be sent, received or decoded.
 #[derive(Debug)]
 pub enum Error {
     /// The connection failed, or a frame is too long.
     Io(std::io::Error),
-    /// The frame does not decode.
+    /// The frame is not a valid protobuf message.
     Decode(prost::DecodeError),
-    /// What was packed does not unpack.
+    /// A compressed field could not be decompressed.
     Unpack(std::io::Error),
-    /// A field that must be set is missing.
+    /// A required field is missing or invalid.
     Missing(&'static str),
-    /// JSON within a field does not parse.
+    /// The JSON within a field could not be parsed or written.
     Json(serde_json::Error),
 }
 
 impl std::fmt::Display for Error {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         match self {
-            Error::Io(cause) => write!(f, "the connection failed: {cause}"),
-            Error::Decode(cause) => write!(f, "the frame does not decode: {cause}"),
-            Error::Unpack(cause) => write!(f, "a packed part does not unpack: {cause}"),
-            Error::Missing(field) => write!(f, "field {field} is missing"),
-            Error::Json(cause) => write!(f, "JSON in the frame does not parse: {cause}"),
+            Error::Io(cause) => write!(f, "connection failed: {cause}"),
+            Error::Decode(cause) => write!(f, "failed to decode frame: {cause}"),
+            Error::Unpack(cause) => write!(f, "failed to decompress field: {cause}"),
+            Error::Missing(field) => write!(f, "field {field} is missing or invalid"),
+            Error::Json(cause) => write!(f, "invalid JSON in frame: {cause}"),
         }
     }
 }
@@ -46,7 +46,7 @@
     }
 }
 
-/// Length-delimited frames of messages.
+/// Encodes and decodes messages as length-delimited frames.
 #[derive(Debug)]
 pub struct Codec {
     frames: LengthDelimitedCodec,
@@ -66,7 +66,7 @@
     type Error = Error;
 
     fn encode(&mut self, message: Message, buf: &mut BytesMut) -> Result<(), Error> {
-        let frame = Bytes::from(frame_of(message)?.encode_to_vec());
+        let frame = Bytes::from(to_frame(message)?.encode_to_vec());
         self.frames.encode(frame, buf)?;
         Ok(())
     }
@@ -78,20 +78,20 @@
 
     fn decode(&mut self, buf: &mut BytesMut) -> Result<Option<Message>, Error> {
         match self.frames.decode(buf)? {
-            Some(frame) => message_of(frame.freeze()).map(Some),
+            Some(frame) => from_frame(frame.freeze()).map(Some),
             None => Ok(None),
         }
     }
 }
 
-fn frame_of(message: Message) -> Result<pb::Frame, Error> {
+fn to_frame(message: Message) -> Result<pb::Frame, Error> {
     use pb::frame::Message as Body;
     let body = match message {
         Message::Digest(members) => Body::Digest(pb::Digest {
-            members: members.into_iter().map(member_out).collect(),
+            members: members.into_iter().map(member_to_wire).collect(),
         }),
         Message::Records(records) => {
-            let records: Result<_, Error> = records.into_iter().map(record_out).collect();
+            let records: Result<_, Error> = records.into_iter().map(record_to_wire).collect();
             Body::Records(pb::Records { records: records? })
         }
         Message::Pull(next) => Body::Pull(pb::Pull { next }),
@@ -104,15 +104,16 @@
     })
 }
 
-fn message_of(frame: Bytes) -> Result<Message, Error> {
+fn from_frame(frame: Bytes) -> Result<Message, Error> {
     use pb::frame::Message as Body;
     let frame = pb::Frame::decode(frame).map_err(Error::Decode)?;
     Ok(match frame.message.ok_or(Error::Missing("message"))? {
         Body::Digest(digest) => {
-            Message::Digest(digest.members.into_iter().map(member_in).collect())
+            Message::Digest(digest.members.into_iter().map(member_from_wire).collect())
         }
         Body::Records(records) => {
-            let records: Result<_, Error> = records.records.into_iter().map(record_in).collect();
+            let records: Result<_, Error> =
+                records.records.into_iter().map(record_from_wire).collect();
             Message::Records(records?)
         }
         Body::Pull(pull) => Message::Pull(pull.next),
@@ -123,7 +124,7 @@
     })
 }
 
-fn member_out(member: MemberState) -> pb::Member {
+fn member_to_wire(member: MemberState) -> pb::Member {
     pb::Member {
         incarnation: member.incarnation.0,
         r#box: member.box_name,
@@ -135,7 +136,7 @@
     }
 }
 
-fn member_in(member: pb::Member) -> MemberState {
+fn member_from_wire(member: pb::Member) -> MemberState {
     MemberState {
         incarnation: Incarnation(member.incarnation),
         box_name: member.r#box,
@@ -147,7 +148,7 @@
     }
 }
 
-fn record_out(read: Read<Operation>) -> Result<pb::Record, Error> {
+fn record_to_wire(read: Read<Operation>) -> Result<pb::Record, Error> {
     Ok(pb::Record {
         offset: read.offset,
         at_ms: read.at_ms,
@@ -157,7 +158,7 @@
     })
 }
 
-fn record_in(record: pb::Record) -> Result<Read<Operation>, Error> {
+fn record_from_wire(record: pb::Record) -> Result<Read<Operation>, Error> {
     Ok(Read {
         offset: record.offset,
         at_ms: record.at_ms,
--- a/reachtally-protocol/src/lib.rs
+++ b/reachtally-protocol/src/lib.rs
@@ -1,7 +1,7 @@
-//! Messages between the daemons of a failure domain, and their framing.
+//! Messages between daemons and between boxes, with their encodings.
 //!
-//! Each message is one frame: a length of four bytes, then `prost`. A connection carries one message
-//! and, for a [`Message::Pull`], its answer.
+//! A [`Message`] between the daemons of a failure domain is sent as one frame: a length of four bytes,
+//! then the `prost` encoding. A connection carries one message and, for a [`Message::Pull`], its answer.
 #![forbid(unsafe_code)]
 #![deny(missing_docs)]
 
@@ -25,18 +25,18 @@
     pub mod relay;
 }
 
-/// The longest frame taken, in bytes. A whole configuration must fit.
+/// Maximum length of an accepted frame, in bytes. A complete configuration must fit.
 pub const FRAME_MAX: usize = 32 << 20;
 
-/// One message.
+/// A message between two daemons.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Message {
     /// Member states, the sender's own first.
     Digest(Vec<MemberState>),
-    /// Configuration records in order.
+    /// Consecutive configuration records.
     Records(Vec<Read<Operation>>),
-    /// Asks for the records from this offset on.
+    /// Requests the records starting at this offset.
     Pull(u64),
-    /// A whole configuration.
+    /// A complete configuration.
     Snapshot(Box<Config>),
 }
--- a/reachtally-protocol/src/limits.rs
+++ b/reachtally-protocol/src/limits.rs
@@ -1,4 +1,4 @@
-//! Rate limits of targets, and the permits by which boxes keep them.
+//! Encoding of the rate limits of targets, and of the permits with which boxes enforce them.
 
 use std::time::Duration;
 
@@ -10,23 +10,24 @@
 use crate::generated::relay;
 use crate::load::target_run;
 
-/// Number of limits in one message. With names of a dozen bytes, and marks, it fits a datagram that is not split on the way.
+/// Maximum number of limits in one message. With target ids of a dozen bytes and run marks, the datagram is not
+/// fragmented.
 pub const LIMITS_IN_MESSAGE: usize = 36;
-/// Units of a rate on the wire, for a request a second.
-pub(crate) const PARTS: f64 = 1000.0;
+/// Rates and fractions are encoded in thousandths.
+pub(crate) const MILLI: f64 = 1000.0;
 
-pub(crate) fn to_parts(per_second: f64) -> u64 {
-    (per_second * PARTS).round() as u64
+pub(crate) fn to_milli(per_second: f64) -> u64 {
+    (per_second * MILLI).round() as u64
 }
 
 pub(crate) fn limits_to_wire(limits: &[LimitReport]) -> relay::Limits {
-    let limit = |told: &LimitReport| relay::Limit {
-        target: told.target.id.to_string(),
-        run_mark: u32::from(told.target.mark.0),
-        per_second_milli: told
+    let limit = |report: &LimitReport| relay::Limit {
+        target: report.target.id.to_string(),
+        run_mark: u32::from(report.target.mark.0),
+        per_second_milli: report
             .limit
-            .map_or(0, |limit| to_parts(limit.per_second()).max(1)),
-        age_ms: u32::try_from(told.age.as_millis()).unwrap_or(u32::MAX),
+            .map_or(0, |limit| to_milli(limit.per_second()).max(1)),
+        age_ms: u32::try_from(report.age.as_millis()).unwrap_or(u32::MAX),
     };
     relay::Limits {
         limits: limits.iter().map(limit).collect(),
@@ -34,31 +35,31 @@
 }
 
 pub(crate) fn limits_from_wire(limits: relay::Limits) -> Vec<LimitReport> {
-    let limit = |told: relay::Limit| LimitReport {
-        target: target_run(told.target, told.run_mark),
-        limit: match told.per_second_milli {
+    let limit = |limit: relay::Limit| LimitReport {
+        target: target_run(limit.target, limit.run_mark),
+        limit: match limit.per_second_milli {
             0 => None,
-            parts => RateLimit::new(parts as f64 / PARTS),
+            milli => RateLimit::new(milli as f64 / MILLI),
         },
-        age: Duration::from_millis(u64::from(told.age_ms)),
+        age: Duration::from_millis(u64::from(limit.age_ms)),
     };
     limits.limits.into_iter().map(limit).collect()
 }
 
 fn demands_to_wire(demands: &[ServiceDemand]) -> Vec<relay::ServiceDemand> {
-    let demand = |told: &ServiceDemand| relay::ServiceDemand {
-        service: told.service.to_string(),
-        per_second_milli: to_parts(told.rate.per_second()),
-        held: told.held,
+    let demand = |demand: &ServiceDemand| relay::ServiceDemand {
+        service: demand.service.to_string(),
+        per_second_milli: to_milli(demand.rate.per_second()),
+        held: demand.held,
     };
     demands.iter().map(demand).collect()
 }
 
 fn demands_from_wire(demands: Vec<relay::ServiceDemand>) -> Vec<ServiceDemand> {
-    let demand = |told: relay::ServiceDemand| ServiceDemand {
-        service: told.service.into(),
-        rate: DemandRate::new(told.per_second_milli as f64 / PARTS),
-        held: told.held,
+    let demand = |demand: relay::ServiceDemand| ServiceDemand {
+        service: demand.service.into(),
+        rate: DemandRate::new(demand.per_second_milli as f64 / MILLI),
+        held: demand.held,
     };
     demands.into_iter().map(demand).collect()
 }
--- a/reachtally-protocol/src/link.rs
+++ b/reachtally-protocol/src/link.rs
@@ -1,4 +1,4 @@
-//! Sending a message to another daemon.
+//! Connections to other daemons.
 
 use std::time::Duration;
 
@@ -10,35 +10,35 @@
 use crate::Message;
 use crate::codec::{Codec, Error};
 
-/// Time for a connection, a message and its answer.
+/// Timeout of a connection, including the message and its answer.
 const TIMEOUT: Duration = Duration::from_secs(2);
 
-/// A connection as messages.
+/// A connection that carries messages.
 pub type Link = Framed<TcpStream, Codec>;
 
-/// Messages over an accepted or opened connection.
+/// Wraps an accepted or opened connection.
 pub fn link(stream: TcpStream) -> Link {
     Framed::new(stream, Codec::default())
 }
 
-/// Send a message that has no answer.
+/// Sends a message that has no answer.
 ///
 /// # Errors
-/// [`Error`] if the other daemon can't be reached in time.
+/// [`Error`] if the message can't be sent within the timeout.
 pub async fn tell(address: &str, message: Message) -> Result<(), Error> {
-    within(async {
+    with_timeout(async {
         let mut link = link(TcpStream::connect(address).await?);
         link.send(message).await
     })
     .await
 }
 
-/// Send a message and wait for its answer.
+/// Sends a message and waits for its answer.
 ///
 /// # Errors
-/// [`Error`] if the other daemon can't be reached, or closes without an answer.
+/// [`Error`] if no answer arrives within the timeout, or the other daemon closes the connection without one.
 pub async fn ask(address: &str, message: Message) -> Result<Message, Error> {
-    within(async {
+    with_timeout(async {
         let mut link = link(TcpStream::connect(address).await?);
         link.send(message).await?;
         link.next().await.unwrap_or(Err(Error::Missing("answer")))
@@ -46,7 +46,9 @@
     .await
 }
 
-async fn within<T>(work: impl Future<Output = Result<T, Error>>) -> Result<T, Error> {
-    let late = || Error::Io(std::io::ErrorKind::TimedOut.into());
-    timeout(TIMEOUT, work).await.unwrap_or_else(|_| Err(late()))
+async fn with_timeout<T>(operation: impl Future<Output = Result<T, Error>>) -> Result<T, Error> {
+    let timed_out = || Error::Io(std::io::ErrorKind::TimedOut.into());
+    timeout(TIMEOUT, operation)
+        .await
+        .unwrap_or_else(|_| Err(timed_out()))
 }
--- a/reachtally-protocol/src/load.rs
+++ b/reachtally-protocol/src/load.rs
@@ -1,4 +1,4 @@
-//! Loads that boxes tell each other: one `prost` message in a datagram.
+//! Encoding of the messages that boxes exchange in datagrams: one `prost` message in each.
 
 use std::time::Duration;
 
@@ -16,52 +16,52 @@
 use crate::shares;
 use crate::suspects::{self, SuspectError};
 
-/// Most bytes of a message; a datagram of this size is not split on usual links.
+/// Maximum length of a message in bytes; a datagram of this size is not fragmented on usual links.
 pub const MESSAGE_MAX: usize = 1400;
-/// Bytes kept for the heads of the datagram and of the message within it, which take two to three each.
-pub(crate) const HEADS: usize = 8;
+/// Bytes reserved for the tags and lengths of the datagram and of the message within it, which take two to three each.
+pub(crate) const FRAMING_BYTES: usize = 8;
 
-/// Step in which the age of a stated queue is encoded.
+/// Resolution in which the age of a queue report is encoded.
 const QUEUE_AGE_STEP: Duration = Duration::from_millis(125);
-/// Number of such steps that are told apart; older queues have expired.
-const QUEUE_AGES: u32 = 8;
-/// Upper bound on the waiting requests of a queue; queues of targets are a hundred times shorter.
-const MOST_WAITING: u32 = 100_000;
+/// Number of distinct encoded ages; older queue reports have expired.
+const QUEUE_AGE_STEPS: u32 = 8;
+/// Upper bound on the encoded queue length; queues of targets are a hundred times shorter.
+const MAX_WAITING: u32 = 100_000;
 
-/// Why a datagram does not decode.
+/// Why a datagram could not be decoded.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum LoadError {
-    /// It is no message of this kind.
+    /// The bytes are not a valid message.
     Malformed(prost::DecodeError),
-    /// It holds nothing that this version knows.
+    /// The message is of a kind that this version does not know.
     Unknown,
-    /// It tells of a request in a way that names none.
+    /// A suspect request within the message is invalid.
     Suspect(SuspectError),
 }
 
 impl std::fmt::Display for LoadError {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         match self {
-            LoadError::Malformed(err) => write!(f, "malformed: {err}"),
+            LoadError::Malformed(err) => write!(f, "malformed message: {err}"),
             LoadError::Suspect(err) => err.fmt(f),
-            LoadError::Unknown => f.write_str("of a kind that is not known"),
+            LoadError::Unknown => f.write_str("unknown message kind"),
         }
     }
 }
 
-/// Encode a message. Loads that do not fit are left out.
+/// Encodes a message. Loads that do not fit into the datagram are omitted.
 pub fn encode(message: &Message) -> Bytes {
     let kind = match message {
         Message::Report(report) => Kind::Report(report_to_wire(report)),
         Message::Part(part) => Kind::Part(part_to_wire(part)),
         Message::Others(others) => Kind::Others(others_to_wire(others)),
-        Message::Suspects(told) => Kind::Suspects(suspects::to_wire(told)),
-        Message::Limits(told) => Kind::Limits(limits::limits_to_wire(told)),
+        Message::Suspects(suspects) => Kind::Suspects(suspects::to_wire(suspects)),
+        Message::Limits(limits) => Kind::Limits(limits::limits_to_wire(limits)),
         Message::PermitRequest(req) => Kind::PermitRequest(limits::request_to_wire(req)),
         Message::Grants(grants) => Kind::Grants(limits::grants_to_wire(grants)),
         Message::DemandPart(part) => Kind::DemandPart(limits::part_to_wire(part)),
         Message::AccountRates(rates) => Kind::AccountRates(shares::rates_to_wire(rates)),
-        Message::AccountShares(told) => Kind::AccountShares(shares::shares_to_wire(told)),
+        Message::AccountShares(shares) => Kind::AccountShares(shares::shares_to_wire(shares)),
         Message::Leave(run) => Kind::Leave(relay::LoadLeave { run: run.0 }),
     };
     relay::LoadMessage { kind: Some(kind) }
@@ -69,13 +69,13 @@
         .into()
 }
 
-/// Encodes a message in as many datagrams as it takes. Loads of collectors stand for themselves, so each datagram with some of
-/// them is complete; other messages take one.
+/// Encodes a message into as many datagrams as it needs. The loads that collectors exchange are independent of each other,
+/// so each datagram is complete with a part of them; all other messages take one datagram.
 pub fn datagrams(message: &Message) -> Vec<Bytes> {
     match message {
         Message::Part(part) => {
-            let head = part_to_wire(&without_loads(part)).encoded_len();
-            let chunks = chunks_that_fit(&part.loads, head).into_iter();
+            let header = part_to_wire(&without_loads(part)).encoded_len();
+            let chunks = chunks_that_fit(&part.loads, header).into_iter();
             let each = chunks.map(|loads| Part {
                 loads: loads.to_vec(),
                 ..without_loads(part)
@@ -84,11 +84,11 @@
         }
         Message::Others(others) => {
             let counts = counts_to_wire(&others.counts);
-            let head = relay::LoadOthers {
+            let header = relay::LoadOthers {
                 loads: Vec::new(),
                 counts,
             };
-            let chunks = chunks_that_fit(&others.loads, head.encoded_len()).into_iter();
+            let chunks = chunks_that_fit(&others.loads, header.encoded_len()).into_iter();
             let each = chunks.enumerate().map(|(number, loads)| Others {
                 counts: match number {
                     0 => others.counts.clone(),
@@ -112,21 +112,21 @@
     }
 }
 
-/// Splits loads so that each chunk fits beside a message of `head` bytes; no loads are one chunk. A load that fits no datagram by
-/// itself is a chunk of its own, which the encoder leaves out.
-fn chunks_that_fit(loads: &[TargetLoad], head: usize) -> Vec<&[TargetLoad]> {
+/// Splits loads into chunks that fit into one datagram each, together with a message of `header` bytes; no loads yield one
+/// empty chunk. A load that is too large for any datagram gets a chunk of its own, which the encoder omits.
+fn chunks_that_fit(loads: &[TargetLoad], header: usize) -> Vec<&[TargetLoad]> {
     let mut chunks = Vec::new();
-    let mut left = loads;
-    while chunks.is_empty() || !left.is_empty() {
-        let fitting = loads_that_fit(left, head).len().max(1);
-        let (first, rest) = left.split_at(fitting.min(left.len()));
+    let mut remaining = loads;
+    while chunks.is_empty() || !remaining.is_empty() {
+        let fitting = loads_that_fit(remaining, header).len().max(1);
+        let (first, rest) = remaining.split_at(fitting.min(remaining.len()));
         chunks.push(first);
-        left = rest;
+        remaining = rest;
     }
     chunks
 }
 
-/// Splits a report into pages that fit a datagram each; an empty report has one page.
+/// Splits a report into pages that fit into one datagram each; an empty report has one page.
 pub fn pages(report: &Report) -> Vec<ReportPage> {
     let page = |index, count, loads: &[TargetLoad]| ReportPage {
         run: report.run,
@@ -135,9 +135,9 @@
         count,
         loads: loads.to_vec(),
     };
-    // The pages fit with any index and count.
-    let head = report_to_wire(&page(u32::MAX, u32::MAX, &[])).encoded_len();
-    let chunks = chunks_that_fit(&report.loads, head);
+    // Reserves space for the longest encodings of index and count.
+    let header = report_to_wire(&page(u32::MAX, u32::MAX, &[])).encoded_len();
+    let chunks = chunks_that_fit(&report.loads, header);
     let count = chunks.len() as u32;
     let numbered = (0..).zip(chunks);
     numbered
@@ -145,10 +145,10 @@
         .collect()
 }
 
-/// Decode a message.
+/// Decodes a message.
 ///
 /// # Errors
-/// What is wrong with it.
+/// [`LoadError`] if the bytes are malformed or of an unknown kind.
 pub fn decode(bytes: &[u8]) -> Result<Message, LoadError> {
     let decoded = relay::LoadMessage::decode(bytes).map_err(LoadError::Malformed)?;
     match decoded.kind.ok_or(LoadError::Unknown)? {
@@ -166,15 +166,15 @@
             loads: loads_from_wire(part.loads),
         })),
         Kind::Leave(leave) => Ok(Message::Leave(Incarnation(leave.run))),
-        Kind::Suspects(told) => suspects::from_wire(told)
+        Kind::Suspects(suspects) => suspects::from_wire(suspects)
             .map(Message::Suspects)
             .map_err(LoadError::Suspect),
-        Kind::Limits(told) => Ok(Message::Limits(limits::limits_from_wire(told))),
+        Kind::Limits(limits) => Ok(Message::Limits(limits::limits_from_wire(limits))),
         Kind::PermitRequest(req) => Ok(Message::PermitRequest(limits::request_from_wire(req))),
         Kind::Grants(grants) => Ok(Message::Grants(limits::grants_from_wire(grants))),
         Kind::DemandPart(part) => Ok(Message::DemandPart(limits::part_from_wire(part))),
         Kind::AccountRates(rates) => Ok(Message::AccountRates(shares::rates_from_wire(rates))),
-        Kind::AccountShares(told) => Ok(Message::AccountShares(shares::shares_from_wire(told))),
+        Kind::AccountShares(shares) => Ok(Message::AccountShares(shares::shares_from_wire(shares))),
         Kind::Others(others) => Ok(Message::Others(Others {
             counts: counts_from_wire(others.counts),
             loads: loads_from_wire(others.loads),
@@ -215,66 +215,66 @@
 }
 
 fn counts_to_wire(counts: &[DomainCount]) -> Vec<relay::DomainCount> {
-    let count = |told: &DomainCount| relay::DomainCount {
-        domain: told.domain.clone(),
-        boxes: told.boxes,
+    let to_wire = |count: &DomainCount| relay::DomainCount {
+        domain: count.domain.clone(),
+        boxes: count.boxes,
     };
-    counts.iter().map(count).collect()
+    counts.iter().map(to_wire).collect()
 }
 
 fn counts_from_wire(counts: Vec<relay::DomainCount>) -> Vec<DomainCount> {
-    let count = |told: relay::DomainCount| DomainCount {
-        domain: told.domain,
-        boxes: told.boxes,
+    let from_wire = |count: relay::DomainCount| DomainCount {
+        domain: count.domain,
+        boxes: count.boxes,
     };
-    counts.into_iter().map(count).collect()
+    counts.into_iter().map(from_wire).collect()
 }
 
-/// Loads that fit beside a message of `length` bytes.
+/// Returns the leading loads that fit into a datagram, together with a message of `length` bytes.
 fn loads_that_fit(loads: &[TargetLoad], length: usize) -> Vec<relay::TargetLoad> {
-    let mut length = length + HEADS;
+    let mut length = length + FRAMING_BYTES;
     let encoded = loads.iter().map(load_to_wire);
     let fits = |load: &relay::TargetLoad| {
-        // The field's own head takes two bytes.
+        // The tag and the length of the field take two bytes.
         length += load.encoded_len() + 2;
         length <= MESSAGE_MAX
     };
     encoded.take_while(fits).collect()
 }
 
-fn load_to_wire(told: &TargetLoad) -> relay::TargetLoad {
+fn load_to_wire(reported: &TargetLoad) -> relay::TargetLoad {
     let percent = |pace: f64| (pace * 100.0).round() as u32;
     relay::TargetLoad {
-        target: told.target.id.to_string(),
-        run_mark: u32::from(told.target.mark.0),
-        running: told.load.running,
-        tokens: told.load.tokens,
-        pace_percent: told.load.pace.map_or(0, percent),
-        reading: told.load.reading,
-        silent: told.load.silent,
-        queue: told.load.queue.map_or(0, queue_to_wire),
+        target: reported.target.id.to_string(),
+        run_mark: u32::from(reported.target.mark.0),
+        running: reported.load.running,
+        tokens: reported.load.tokens,
+        pace_percent: reported.load.pace.map_or(0, percent),
+        reading: reported.load.reading,
+        silent: reported.load.silent,
+        queue: reported.load.queue.map_or(0, queue_to_wire),
     }
 }
 
-/// Encodes a queue in one number, since a message holds dozens of them.
+/// Encodes a queue report as one number, since a message holds dozens of them.
 fn queue_to_wire(queue: QueueReport) -> u32 {
-    let eighths = (queue.age.as_millis() / QUEUE_AGE_STEP.as_millis()) as u32;
-    let waiting = queue.waiting.min(MOST_WAITING);
-    1 + waiting * QUEUE_AGES + eighths.min(QUEUE_AGES - 1)
+    let age_steps = (queue.age.as_millis() / QUEUE_AGE_STEP.as_millis()) as u32;
+    let waiting = queue.waiting.min(MAX_WAITING);
+    1 + waiting * QUEUE_AGE_STEPS + age_steps.min(QUEUE_AGE_STEPS - 1)
 }
 
 fn queue_from_wire(number: u32) -> QueueReport {
     QueueReport {
-        waiting: number / QUEUE_AGES,
-        age: QUEUE_AGE_STEP * (number % QUEUE_AGES),
+        waiting: number / QUEUE_AGE_STEPS,
+        age: QUEUE_AGE_STEP * (number % QUEUE_AGE_STEPS),
     }
 }
 
-/// Decodes the run of a target.
+/// Decodes the identity of a target's run.
 pub(crate) fn target_run(id: String, mark: u32) -> TargetRun {
     TargetRun {
         id: id.into(),
-        // A mark of more than it may have is of no run that is known.
+        // An out-of-range mark belongs to no known run.
         mark: RunMark(u16::try_from(mark).unwrap_or(u16::MAX)),
     }
 }
--- a/reachtally-protocol/src/news.rs
+++ b/reachtally-protocol/src/news.rs
@@ -1,4 +1,4 @@
-//! What a box asks another for, and what it is told: the configuration and the targets.
+//! Requests for updates of the configuration, the targets and the group of boxes, and the answers to them.
 
 use std::time::Duration;
 
@@ -15,77 +15,77 @@
 use crate::generated::relay as pb;
 use crate::packed;
 
-/// Asks for what is new since what the asker holds.
+/// Requests updates relative to the state that the requesting box holds.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct Ask {
-    /// Version of the configuration held; 0 for none.
+    /// Version of the held configuration; 0 for none.
     pub config_version: u64,
-    /// How far the asker has followed the answerer's changes of targets.
+    /// How far the requesting box has applied the target changes of the answering box.
     pub targets: Cursor,
-    /// Position in the store up to which the asker knows the targets; the least for none.
+    /// Store position up to which the requesting box knows the targets; the least one for none.
     pub targets_end: Position,
-    /// Generation of the group of boxes that the asker knows; the least for none.
+    /// Generation of the held group membership; the least one for none.
     pub group_generation: Generation,
 }
 
-/// What is new.
+/// The state that is newer than what the requesting box holds.
 #[derive(Debug, Clone, PartialEq, Default)]
 pub struct News {
-    /// Age of the read that confirmed the configuration.
+    /// Age of the read that last confirmed the configuration.
     pub confirmed_age: Option<Duration>,
     /// Age of the last read of the targets.
     pub targets_age: Option<Duration>,
-    /// Position in the store up to which the targets are known.
+    /// Store position up to which the answering box knows the targets.
     pub targets_end: Position,
-    /// The store's era, if the answerer knows it.
+    /// The current store epoch, if the answering box knows it.
     pub era: Option<Era>,
-    /// How long ago the store came back into it from a copy, if the answerer knows of it.
+    /// Time since the store entered this epoch by being restored from a copy, if the answering box knows it.
     pub era_age: Option<Duration>,
-    /// The configuration as published, packed; empty if the asker's is as new.
+    /// The published configuration, compressed; empty if the requesting box already holds it.
     pub config: Bytes,
-    /// How far the changes of targets go.
+    /// Position in the target changes of the answering box after `page` is applied.
     pub targets: Cursor,
-    /// What changed of the targets: a packed [`TargetPage`]; empty if nothing did.
+    /// A compressed [`TargetPage`]; empty if no target changed.
     pub page: Bytes,
-    /// Generation of the group that `members` is of; the least if the asker's is as new.
+    /// Generation of the group membership in `members`; the least one if the requesting box already holds it.
     pub group_generation: Generation,
-    /// The boxes of the group.
+    /// The members of the group.
     pub members: Vec<Member>,
 }
 
-/// What changed of the targets. It is packed, since after a start a reader tells all boxes of its failure domain of
-/// all targets: of 3,000 some 270 KB to each of a hundred before, worked out.
+/// Changes of the targets. Sent compressed, since at a start one box sends all targets to every box of its failure domain:
+/// uncompressed, 3,000 targets come to about 270 KB for each of a hundred boxes.
 #[derive(Debug, Clone, PartialEq, Default)]
 pub struct TargetPage {
-    /// Whether `wrote` holds all targets.
+    /// Whether `wrote` lists all targets rather than only the changed ones.
     pub is_whole: bool,
-    /// Entries that changed.
+    /// New and changed entries.
     pub wrote: Vec<Entry>,
-    /// Ids among `wrote` whose entries are missing in the store, perhaps through its own fault.
+    /// Ids in `wrote` whose entries have disappeared from the store, possibly through a fault of the store.
     pub lapsed: Vec<String>,
-    /// Ids of targets that are gone.
+    /// Ids of removed targets.
     pub gone: Vec<String>,
 }
 
 impl TargetPage {
-    /// Its packed form.
+    /// Encodes and compresses the page.
     ///
     /// # Errors
-    /// None is expected: both forms are in memory.
+    /// Not expected to fail, since input and output are in memory.
     pub fn pack(&self) -> std::io::Result<Bytes> {
         let message = pb::TargetPage {
             is_whole: self.is_whole,
-            wrote: self.wrote.iter().map(encode_entry).collect(),
+            wrote: self.wrote.iter().map(entry_to_wire).collect(),
             lapsed: self.lapsed.clone(),
             gone: self.gone.clone(),
         };
         packed::pack(&message.encode_to_vec())
     }
 
-    /// From its packed form.
+    /// Decompresses and decodes a page.
     ///
     /// # Errors
-    /// [`Error::Unpack`], [`Error::Decode`], or [`Error::Missing`] for an address that is none.
+    /// [`Error::Unpack`], [`Error::Decode`], or [`Error::Missing`] for an invalid address.
     pub fn unpack(page: &[u8]) -> Result<Self, Error> {
         if page.is_empty() {
             return Ok(TargetPage::default());
@@ -93,7 +93,7 @@
         let unpacked = packed::unpack(page).map_err(Error::Unpack)?;
         let message = pb::TargetPage::decode(unpacked).map_err(Error::Decode)?;
         let wrote: Result<Vec<Entry>, Error> =
-            message.wrote.into_iter().map(decode_entry).collect();
+            message.wrote.into_iter().map(entry_from_wire).collect();
         Ok(TargetPage {
             is_whole: message.is_whole,
             wrote: wrote?,
@@ -103,7 +103,7 @@
     }
 }
 
-/// Frames of these messages: a length of four bytes, then `prost`.
+/// Returns the codec of the frames of these messages: a length of four bytes, then the `prost` encoding.
 pub fn frames() -> tokio_util::codec::LengthDelimitedCodec {
     let mut builder = tokio_util::codec::LengthDelimitedCodec::builder();
     builder.max_frame_length(FRAME_MAX);
@@ -111,7 +111,7 @@
 }
 
 impl Ask {
-    /// As the content of a frame.
+    /// Encodes the content of a frame.
     pub fn encode(&self) -> Bytes {
         let message = pb::Ask {
             config_version: self.config_version,
@@ -125,7 +125,7 @@
         message.encode_to_vec().into()
     }
 
-    /// From the content of a frame.
+    /// Decodes the content of a frame.
     ///
     /// # Errors
     /// [`Error::Decode`].
@@ -144,7 +144,7 @@
 }
 
 impl News {
-    /// As the content of a frame.
+    /// Encodes the content of a frame.
     pub fn encode(&self) -> Bytes {
         let message = pb::News {
             confirmed_age_ms: self.confirmed_age.map(|age| age.as_millis() as u64),
@@ -158,22 +158,22 @@
             era_age_ms: self.era_age.map(|age| age.as_millis() as u64),
             group_generation: self.group_generation.number,
             group_era: self.group_generation.era.0,
-            members: self.members.iter().map(encode_member).collect(),
+            members: self.members.iter().map(member_to_wire).collect(),
             page: self.page.clone(),
         };
         message.encode_to_vec().into()
     }
 
-    /// From the content of a frame.
+    /// Decodes the content of a frame.
     ///
     /// # Errors
-    /// [`Error::Decode`], or [`Error::Missing`] for an address that is none.
+    /// [`Error::Decode`], or [`Error::Missing`] for an invalid address.
     pub fn decode(bytes: Bytes) -> Result<Self, Error> {
         let message = pb::News::decode(bytes).map_err(Error::Decode)?;
         let members: Result<Vec<Member>, Error> =
-            message.members.into_iter().map(decode_member).collect();
+            message.members.into_iter().map(member_from_wire).collect();
         Ok(News {
-            // Rounded up, since a smaller age would be a promise that was not given.
+            // Rounds up: the state must never appear newer than it is.
             confirmed_age: message
                 .confirmed_age_ms
                 .map(|ms| Duration::from_millis(ms + 1)),
@@ -205,7 +205,7 @@
     Generation { era, number }
 }
 
-fn encode_member(member: &Member) -> pb::Member {
+fn member_to_wire(member: &Member) -> pb::Member {
     pb::Member {
         domain: member.domain.clone(),
         ip: member.ip.to_string(),
@@ -214,7 +214,7 @@
     }
 }
 
-fn decode_member(member: pb::Member) -> Result<Member, Error> {
+fn member_from_wire(member: pb::Member) -> Result<Member, Error> {
     Ok(Member {
         domain: member.domain,
         ip: member.ip.parse().map_err(|_| Error::Missing("ip"))?,
@@ -223,7 +223,7 @@
     })
 }
 
-fn encode_entry(entry: &Entry) -> pb::Target {
+fn entry_to_wire(entry: &Entry) -> pb::Target {
     pb::Target {
         id: entry.id.to_string(),
         born: entry.born.map_or(0, |born| born.0),
@@ -238,7 +238,7 @@
     }
 }
 
-fn decode_entry(target: pb::Target) -> Result<Entry, Error> {
+fn entry_from_wire(target: pb::Target) -> Result<Entry, Error> {
     let address = target.address.parse();
     Ok(Entry {
         id: target.id.into(),
--- a/reachtally-protocol/src/packed.rs
+++ b/reachtally-protocol/src/packed.rs
@@ -1,5 +1,5 @@
-//! Packed texts: a configuration of a thousand routes goes from one box to dozens, some of which have
-//! links of 20 Mbit/s, and packs to a tenth of its size.
+//! Compression with deflate. One box sends a configuration of a thousand routes to dozens of others, some of which have
+//! links of 20 Mbit/s; it compresses to a tenth of its size.
 
 use std::io::{self, Read, Write};
 
@@ -10,28 +10,30 @@
 
 use crate::FRAME_MAX;
 
-/// Pack a text.
+/// Compresses `data`.
 ///
 /// # Errors
-/// None is expected: the text and its packed form are in memory.
-pub fn pack(text: &[u8]) -> io::Result<Bytes> {
+/// Not expected to fail, since input and output are in memory.
+pub fn pack(data: &[u8]) -> io::Result<Bytes> {
     let mut encoder = DeflateEncoder::new(Vec::new(), Compression::fast());
-    encoder.write_all(text)?;
+    encoder.write_all(data)?;
     Ok(encoder.finish()?.into())
 }
 
-/// The text that was packed, up to [`FRAME_MAX`] bytes.
+/// Decompresses at most [`FRAME_MAX`] bytes.
 ///
 /// # Errors
-/// If the bytes are not a packed text, or it is longer.
+/// If `packed` is not valid deflate data, or the decompressed data are longer than that.
 pub fn unpack(packed: &[u8]) -> io::Result<Bytes> {
-    let mut text = Vec::new();
-    let most = FRAME_MAX as u64 + 1;
+    let mut data = Vec::new();
+    let limit = FRAME_MAX as u64 + 1;
     DeflateDecoder::new(packed)
-        .take(most)
-        .read_to_end(&mut text)?;
-    if text.len() as u64 == most {
-        return Err(io::Error::other("the packed text is too long"));
+        .take(limit)
+        .read_to_end(&mut data)?;
+    if data.len() as u64 == limit {
+        return Err(io::Error::other(
+            "the decompressed data exceed the maximum frame length",
+        ));
     }
-    Ok(text.into())
+    Ok(data.into())
 }
--- a/reachtally-protocol/src/shares.rs
+++ b/reachtally-protocol/src/shares.rs
@@ -1,4 +1,4 @@
-//! Rates and shares of client accounts.
+//! Encoding of the rates and fair shares of client accounts.
 
 use prost::Message as _;
 use reachtally_core::forward::limit::DemandRate;
@@ -10,41 +10,41 @@
 use reachtally_core::ids::Incarnation;
 
 use crate::generated::relay;
-use crate::limits::{PARTS, to_parts};
-use crate::load::{HEADS, MESSAGE_MAX};
+use crate::limits::{MILLI, to_milli};
+use crate::load::{FRAMING_BYTES, MESSAGE_MAX};
 
-/// Bytes of the head of a service within a message.
-const SERVICE_HEAD: usize = 3;
+/// Upper bound on the bytes of the tag and the length in front of a service within a message.
+const SERVICE_FRAMING_BYTES: usize = 3;
 
-fn rate(parts: u64) -> DemandRate {
-    DemandRate::new(parts as f64 / PARTS)
+fn rate_from_milli(milli: u64) -> DemandRate {
+    DemandRate::new(milli as f64 / MILLI)
 }
 
-/// Splits a message into pages that fit a datagram each.
+/// Splits a message into pages that fit into one datagram each.
 pub fn pages_of_rates(rates: &AccountRates) -> Vec<AccountRates> {
     let page = |services| AccountRates {
         services,
-        ..head_of(rates)
+        ..without_services(rates)
     };
-    let head = rates_to_wire(&head_of(rates)).encoded_len();
+    let header = rates_to_wire(&without_services(rates)).encoded_len();
     let length = |service: &ServiceRates| service_rates_to_wire(service).encoded_len();
-    let chunks = chunks(&rates.services, head, length);
+    let chunks = chunks(&rates.services, header, length);
     chunks.into_iter().map(page).collect()
 }
 
-/// The same for shares.
+/// Splits shares into pages that fit into one datagram each.
 pub fn pages_of_shares(shares: &AccountShares) -> Vec<AccountShares> {
     let page = |services| AccountShares {
         number: shares.number,
         services,
     };
-    let head = shares_to_wire(&page(Vec::new())).encoded_len();
+    let header = shares_to_wire(&page(Vec::new())).encoded_len();
     let length = |service: &ServiceShare| service_share_to_wire(service).encoded_len();
-    let chunks = chunks(&shares.services, head, length);
+    let chunks = chunks(&shares.services, header, length);
     chunks.into_iter().map(page).collect()
 }
 
-fn head_of(rates: &AccountRates) -> AccountRates {
+fn without_services(rates: &AccountRates) -> AccountRates {
     AccountRates {
         run: rates.run,
         number: rates.number,
@@ -53,21 +53,22 @@
     }
 }
 
-/// Splits services into runs that fit a datagram each, beside a head of `head` bytes. A service that fits none is left out.
-fn chunks<T: Clone>(services: &[T], head: usize, length: impl Fn(&T) -> usize) -> Vec<Vec<T>> {
-    let room = MESSAGE_MAX.saturating_sub(head + HEADS);
+/// Splits services into chunks that fit into one datagram each, together with a header of `header` bytes. A service that
+/// is too large for any datagram is omitted.
+fn chunks<T: Clone>(services: &[T], header: usize, length: impl Fn(&T) -> usize) -> Vec<Vec<T>> {
+    let capacity = MESSAGE_MAX.saturating_sub(header + FRAMING_BYTES);
     let mut chunks: Vec<Vec<T>> = Vec::new();
-    let mut left = 0;
+    let mut remaining = 0;
     for service in services {
-        let length = length(service) + SERVICE_HEAD;
-        if length > room {
+        let length = length(service) + SERVICE_FRAMING_BYTES;
+        if length > capacity {
             continue;
         }
-        if length > left {
+        if length > remaining {
             chunks.push(Vec::new());
-            left = room;
+            remaining = capacity;
         }
-        left -= length;
+        remaining -= length;
         if let Some(chunk) = chunks.last_mut() {
             chunk.push(service.clone());
         }
@@ -75,14 +76,14 @@
     chunks
 }
 
-/// Services that fit beside a message of `length` bytes.
-fn that_fit<T: prost::Message>(
+/// Returns the leading services that fit into a datagram, together with a message of `length` bytes.
+fn services_that_fit<T: prost::Message>(
     services: impl Iterator<Item = T>,
     mut length: usize,
 ) -> impl Iterator<Item = T> {
-    length += HEADS;
+    length += FRAMING_BYTES;
     services.take_while(move |service| {
-        length += service.encoded_len() + SERVICE_HEAD;
+        length += service.encoded_len() + SERVICE_FRAMING_BYTES;
         length <= MESSAGE_MAX
     })
 }
@@ -95,7 +96,7 @@
         services: Vec::new(),
     };
     let services = rates.services.iter().map(service_rates_to_wire);
-    message.services = that_fit(services, message.encoded_len()).collect();
+    message.services = services_that_fit(services, message.encoded_len()).collect();
     message
 }
 
@@ -104,12 +105,12 @@
     relay::ServiceRates {
         service: rates.service.to_string(),
         is_contended: rates.is_contended,
-        offered_milli: to_parts(rates.offered.per_second()),
-        admitted_milli: to_parts(rates.admitted.per_second()),
+        offered_milli: to_milli(rates.offered.per_second()),
+        admitted_milli: to_milli(rates.admitted.per_second()),
         count: rates.count,
         accounts: accounts.clone().map(|each| each.account.0).collect(),
         rates_milli: accounts
-            .map(|each| to_parts(each.rate.per_second()))
+            .map(|each| to_milli(each.rate.per_second()))
             .collect(),
     }
 }
@@ -126,15 +127,15 @@
 
 fn service_rates_from_wire(rates: relay::ServiceRates) -> ServiceRates {
     let accounts = rates.accounts.into_iter().zip(rates.rates_milli);
-    let account = |(account, parts)| AccountRate {
+    let account = |(account, milli)| AccountRate {
         account: AccountDigest(account),
-        rate: rate(parts),
+        rate: rate_from_milli(milli),
     };
     ServiceRates {
         service: rates.service.into(),
         is_contended: rates.is_contended,
-        offered: rate(rates.offered_milli),
-        admitted: rate(rates.admitted_milli),
+        offered: rate_from_milli(rates.offered_milli),
+        admitted: rate_from_milli(rates.admitted_milli),
         count: rates.count,
         accounts: accounts.take(ACCOUNTS_OF_DOMAIN).map(account).collect(),
     }
@@ -146,7 +147,7 @@
         services: Vec::new(),
     };
     let services = shares.services.iter().map(service_share_to_wire);
-    message.services = that_fit(services, message.encoded_len()).collect();
+    message.services = services_that_fit(services, message.encoded_len()).collect();
     message
 }
 
@@ -154,10 +155,10 @@
     let accounts = share.accounts.iter();
     relay::ServiceShare {
         service: share.service.to_string(),
-        share_milli: share.share.map(|share| to_parts(share.per_second())),
+        share_milli: share.share.map(|share| to_milli(share.per_second())),
         accounts: accounts.clone().map(|each| each.account.0).collect(),
         fractions_milli: accounts
-            .map(|each| (each.fraction.clamp(0.0, 1.0) * PARTS).round() as u32)
+            .map(|each| (each.fraction.clamp(0.0, 1.0) * MILLI).round() as u32)
             .collect(),
     }
 }
@@ -172,13 +173,13 @@
 
 fn service_share_from_wire(share: relay::ServiceShare) -> ServiceShare {
     let accounts = share.accounts.into_iter().zip(share.fractions_milli);
-    let account = |(account, parts): (u32, u32)| AccountFraction {
+    let account = |(account, milli): (u32, u32)| AccountFraction {
         account: AccountDigest(account),
-        fraction: (f64::from(parts) / PARTS).min(1.0),
+        fraction: (f64::from(milli) / MILLI).min(1.0),
     };
     ServiceShare {
         service: share.service.into(),
-        share: share.share_milli.map(rate),
+        share: share.share_milli.map(rate_from_milli),
         accounts: accounts.take(ACCOUNTS_OF_DOMAIN).map(account).collect(),
     }
 }
--- a/reachtally-protocol/src/suspects.rs
+++ b/reachtally-protocol/src/suspects.rs
@@ -1,4 +1,5 @@
-//! Requests that targets ended under, as boxes tell each other of them and as they are kept.
+//! Encoding of suspect requests, which were running on targets when these crashed: as boxes exchange them and as they are
+//! persisted in the store.
 
 use std::time::Duration;
 
@@ -9,50 +10,51 @@
 
 use crate::generated::relay;
 
-/// Why what is told of a request can't be used.
+/// Why a suspect request could not be decoded.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum SuspectError {
-    /// It is no message of this kind.
+    /// The bytes are not a valid message.
     Malformed(prost::DecodeError),
-    /// Its fingerprint has this many bytes.
+    /// The fingerprint has this unexpected number of bytes.
     Fingerprint(usize),
 }
 
 impl std::fmt::Display for SuspectError {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         match self {
-            SuspectError::Malformed(err) => write!(f, "malformed: {err}"),
-            SuspectError::Fingerprint(bytes) => write!(f, "a fingerprint of {bytes} bytes"),
+            SuspectError::Malformed(err) => write!(f, "malformed suspect request: {err}"),
+            SuspectError::Fingerprint(bytes) => write!(f, "invalid fingerprint of {bytes} bytes"),
         }
     }
 }
 
-/// Encode what is kept of a request until `expires`, a time of day since the Unix epoch.
-pub fn encode_kept(told: &Told, expires: Duration) -> Bytes {
-    let kept = relay::KeptSuspect {
-        suspect: Some(suspect_to_wire(told)),
+/// Encodes a suspect request to be persisted until `expires`, as time since the Unix epoch.
+pub fn encode_kept(suspect: &Told, expires: Duration) -> Bytes {
+    let stored = relay::KeptSuspect {
+        suspect: Some(suspect_to_wire(suspect)),
         expires_s: expires.as_secs(),
     };
-    kept.encode_to_vec().into()
+    stored.encode_to_vec().into()
 }
 
-/// Decode what is kept of a request, at the time of day `now`. Its life is over if the time has passed.
+/// Decodes a persisted suspect request at the time `now` since the Unix epoch. Its remaining lifetime is zero if it has
+/// expired.
 ///
 /// # Errors
-/// What is wrong with it.
+/// [`SuspectError`] if the bytes are malformed or the fingerprint has the wrong length.
 pub fn decode_kept(bytes: &[u8], now: Duration) -> Result<Told, SuspectError> {
-    let kept = relay::KeptSuspect::decode(bytes).map_err(SuspectError::Malformed)?;
-    let told = suspect_from_wire(kept.suspect.unwrap_or_default())?;
-    let expires = Duration::from_secs(kept.expires_s);
+    let stored = relay::KeptSuspect::decode(bytes).map_err(SuspectError::Malformed)?;
+    let suspect = suspect_from_wire(stored.suspect.unwrap_or_default())?;
+    let expires = Duration::from_secs(stored.expires_s);
     Ok(Told {
         life: expires.saturating_sub(now),
-        ..told
+        ..suspect
     })
 }
 
-pub(crate) fn to_wire(told: &[Told]) -> relay::Suspects {
+pub(crate) fn to_wire(suspects: &[Told]) -> relay::Suspects {
     relay::Suspects {
-        suspects: told.iter().map(suspect_to_wire).collect(),
+        suspects: suspects.iter().map(suspect_to_wire).collect(),
     }
 }
 
@@ -61,17 +63,17 @@
     each.map(suspect_from_wire).collect()
 }
 
-fn suspect_to_wire(told: &Told) -> relay::Suspect {
+fn suspect_to_wire(suspect: &Told) -> relay::Suspect {
     let end = |end: &End| relay::RunEnd {
         run: end.run.0,
         had_begun: end.had_begun,
         is_acquitted: end.is_acquitted,
     };
     relay::Suspect {
-        fingerprint: Bytes::copy_from_slice(&told.fingerprint.0),
-        account: told.account.0,
-        life_s: told.life.as_secs() as u32,
-        ends: told.ends.iter().map(end).collect(),
+        fingerprint: Bytes::copy_from_slice(&suspect.fingerprint.0),
+        account: suspect.account.0,
+        life_s: suspect.life.as_secs() as u32,
+        ends: suspect.ends.iter().map(end).collect(),
     }
 }
 
