--- a/reachtally-relay/src/follow/absent.rs
+++ b/reachtally-relay/src/follow/absent.rs
@@ -17,7 +17,7 @@
 pub async fn targets_missing(relay: Rc<Relay>) {
     loop {
         sleep(MISSING_INTERVAL).await;
-        relay.drop_missing();
+        relay.remove_missing();
     }
 }
 
@@ -26,7 +26,7 @@
     let probing = async {
         loop {
             sleep(AWAY_INTERVAL).await;
-            tokio::join!(relay.probe_dead(), relay.probe_unreachable());
+            tokio::join!(relay.probe_dead_targets(), relay.probe_unreachable());
         }
     };
     let checking = async {
--- a/reachtally-relay/src/follow/targets.rs
+++ b/reachtally-relay/src/follow/targets.rs
@@ -165,16 +165,16 @@
             TargetChange::Wrote(entry) if relay.fleet.borrow().is_gone(&entry.run()) => {}
             TargetChange::Wrote(entry) => entries.push(entry),
             TargetChange::Spoiled(entry) => {
-                relay.forget(&entry.id);
+                relay.remove_target(&entry.id);
                 spoiled.push(entry);
             }
             TargetChange::Gone(id) => relay.target_gone(&id, may_lapse),
         }
     }
-    relay.note_spoiled(&spoiled);
+    relay.log_malformed_entries(&spoiled);
     let is_copy = held.era != end.era && held != Position::default();
     match is_copy {
-        true => relay.compare_targets(entries),
+        true => relay.merge_targets(entries),
         false => relay.replace_targets(entries, may_lapse),
     }
     relay.targets_are_of(began, end);
@@ -208,18 +208,18 @@
         match change {
             TargetChange::Wrote(entry) => wrote.push((entry, Evidence::Written)),
             TargetChange::Gone(id) => {
-                relay.targets_shown(std::mem::take(&mut wrote));
+                relay.update_targets(std::mem::take(&mut wrote));
                 relay.target_gone(&id, may_lapse);
             }
             TargetChange::Spoiled(entry) => {
-                relay.targets_shown(std::mem::take(&mut wrote));
-                relay.forget(&entry.id);
+                relay.update_targets(std::mem::take(&mut wrote));
+                relay.remove_target(&entry.id);
                 spoiled.push(entry);
             }
         }
     }
-    relay.targets_shown(wrote);
-    relay.note_spoiled(&spoiled);
+    relay.update_targets(wrote);
+    relay.log_malformed_entries(&spoiled);
     relay.targets_are_of(began, end);
     Ok(Taken::Entries)
 }
--- a/reachtally-relay/src/gossip/limits.rs
+++ b/reachtally-relay/src/gossip/limits.rs
@@ -1,4 +1,4 @@
-//! Rate limits of targets, and the permits by which all boxes keep them, to and from the other boxes.
+//! Gossip about the rate limits of targets, and about the permits with which the boxes enforce them together.
 
 use std::net::IpAddr;
 use std::time::Duration;
@@ -11,30 +11,30 @@
 use reachtally_core::forward::peers::domains;
 use reachtally_protocol::limits::LIMITS_IN_MESSAGE;
 
-use super::{Gossip, Target, is_page_due};
-use crate::gossip::PAGE_REPORTS;
+use super::{Destination, Gossip, is_full_page_due};
+use crate::gossip::FULL_PAGE_REPORTS;
 
-/// Least time between two requests for permits, which bounds what a collector gets while requests wait at all boxes.
+/// Minimum interval between two permit requests; bounds the load of a collector while requests are queued at all boxes.
 const REQUEST_INTERVAL: Duration = Duration::from_millis(100);
 
-/// This box's requests for permits.
+/// State of the permit requests that this box sends.
 #[derive(Debug, Default)]
-pub(super) struct Requests {
-    /// Number of the last one.
+pub(super) struct PermitRequests {
+    /// Sequence number of the last request.
     number: u64,
     sent_at: Option<Instant>,
-    /// Number of the last one that was answered.
-    answered: u64,
+    /// Sequence number of the last answered request.
+    last_answered: u64,
 }
 
 impl Gossip {
-    /// Reports limits and asks for permits. A collector also reports the demand of its boxes.
+    /// Reports limits and requests permits. A collector also reports the demand of its boxes.
     pub(super) fn report_limits(&mut self) {
         let limits = self.limits_due(self.number);
-        match self.target {
-            Target::Box(ip) => self.send_limits(ip, limits),
-            Target::Here => {
-                for ip in self.collectors() {
+        match self.destination {
+            Destination::Box(ip) => self.send_limits(ip, limits),
+            Destination::Local => {
+                for ip in self.collectors_to_inform() {
                     self.send_limits(ip, limits.clone());
                 }
                 self.report_demand();
@@ -43,27 +43,27 @@
         self.request_permits();
     }
 
-    /// Answers report `number` of a box that reports here.
+    /// Sends limits in answer to report `number` of another box.
     pub(super) fn answer_limits(&self, to: IpAddr, number: u64) {
         self.send_limits(to, self.limits_due(number));
     }
 
     /// Sends changed limits immediately instead of with the next report.
-    pub(super) fn spread_limits(&self, from: Option<IpAddr>) {
+    pub(super) fn propagate_limits(&self, from: Option<IpAddr>) {
         let now = self.relay.now();
         let changes = limit::changes(&self.relay.fleet.borrow(), LIMITS_IN_MESSAGE, now);
-        for ip in self.neighbours(from) {
+        for ip in self.recipients(from) {
             self.send_limits(ip, changes.clone());
         }
     }
 
-    /// Limits that go with report `number`: those that changed lately, or else a page of all if one is due.
+    /// Returns the limits to send with report `number`: recent changes or, if there are none and one is due, a page of all limits.
     fn limits_due(&self, number: u64) -> Vec<LimitReport> {
         let now = self.relay.now();
         let fleet = self.relay.fleet.borrow();
         let changes = limit::changes(&fleet, LIMITS_IN_MESSAGE, now);
-        match changes.is_empty() && is_page_due(number) {
-            true => limit::page(&fleet, number / PAGE_REPORTS, LIMITS_IN_MESSAGE, now),
+        match changes.is_empty() && is_full_page_due(number) {
+            true => limit::page(&fleet, number / FULL_PAGE_REPORTS, LIMITS_IN_MESSAGE, now),
             false => changes,
         }
     }
@@ -74,7 +74,7 @@
         }
     }
 
-    /// Reports the demand by which collectors share the limits.
+    /// Reports the demand of the boxes that report to this one; collectors split the limits in proportion to demand.
     fn report_demand(&self) {
         if self.limited_targets().is_empty() {
             return;
@@ -84,7 +84,7 @@
             domain: self.relay.settings.borrow().domain.clone(),
             demands: self.allocator.own_demands(),
         });
-        for ip in self.collectors() {
+        for ip in self.collectors_to_inform() {
             self.send(ip, &part);
         }
     }
@@ -93,11 +93,11 @@
         limit::limited_targets(&self.relay.fleet.borrow())
     }
 
-    /// Asks the collector for permits, where targets with a limit serve what callers ask for.
+    /// Requests permits from the collector for services with demand that have rate-limited targets.
     pub(super) fn request_permits(&mut self) {
         let now = self.relay.now();
         let is_recent = |at: Instant| now.since(at) < REQUEST_INTERVAL;
-        if self.requests.sent_at.is_some_and(is_recent) {
+        if self.permit_requests.sent_at.is_some_and(is_recent) {
             return;
         }
         let limited = self.limited_targets();
@@ -108,24 +108,24 @@
             return;
         }
         limit::note_held(&mut demands, &self.relay.fleet.borrow(), now);
-        self.requests.number += 1;
-        self.requests.sent_at = Some(now);
+        self.permit_requests.number += 1;
+        self.permit_requests.sent_at = Some(now);
         let req = PermitRequest {
             run: self.run,
-            number: self.requests.number,
+            number: self.permit_requests.number,
             demands,
         };
-        match self.target {
-            Target::Box(ip) => self.send(ip, &Message::PermitRequest(req)),
-            Target::Here => {
+        match self.destination {
+            Destination::Box(ip) => self.send(ip, &Message::PermitRequest(req)),
+            Destination::Local => {
                 if let Some(grants) = self.allocator.answer(req, now) {
-                    self.take_grants(&grants);
+                    self.apply_grants(&grants);
                 }
             }
         }
     }
 
-    /// Answers a box that asks for permits.
+    /// Answers a permit request of another box.
     pub(super) fn answer_request(&mut self, req: PermitRequest, from: IpAddr) {
         let now = self.relay.now();
         if let Some(grants) = self.allocator.answer(req, now)
@@ -135,16 +135,16 @@
         }
     }
 
-    /// Adds permits; a duplicate or late answer is ignored.
-    pub(super) fn take_grants(&mut self, grants: &Grants) {
-        if grants.number <= self.requests.answered {
+    /// Adds granted permits; ignores duplicate and reordered answers.
+    pub(super) fn apply_grants(&mut self, grants: &Grants) {
+        if grants.number <= self.permit_requests.last_answered {
             return;
         }
-        self.requests.answered = grants.number;
+        self.permit_requests.last_answered = grants.number;
         self.relay.take_grants(grants);
     }
 
-    /// Refills the buckets of the limited targets.
+    /// Refills the token buckets of the rate-limited targets.
     pub(super) fn refill(&mut self) {
         let now = self.relay.now();
         let limited = self.limited_targets();
@@ -152,7 +152,8 @@
         self.allocator.refill(&limited, extent, now);
     }
 
-    /// Whom the limits are shared with. A box that is no member of the group does not know how many others collect for themselves.
+    /// Returns how many collectors share the limits. A box outside the group does not know how many other boxes collect only for
+    /// themselves.
     fn extent(&self) -> Extent {
         let members = domains(&self.relay.members.borrow()).len();
         let settings = self.relay.settings.borrow().domains;
--- a/reachtally-relay/src/gossip/mod.rs
+++ b/reachtally-relay/src/gossip/mod.rs
@@ -1,6 +1,11 @@
-//! Messages to and from the other boxes: loads, so that boxes which do not see each other's requests don't all choose the same
-//! engines; requests that crash targets, so that they are quarantined at all boxes; rate limits of targets, which all boxes
-//! keep together; and rates of client accounts in contended services, by which the accounts get fair shares.
+//! Gossip between boxes, as datagrams.
+//!
+//! Boxes exchange the loads of targets, since boxes that do not see each other's requests would all choose the same engines;
+//! requests that crash targets, so that every box quarantines them; rate limits of targets, which the boxes enforce together;
+//! and the rates of client accounts in contended services, from which fair shares are computed.
+//!
+//! A box reports to the collector of its failure domain. Collectors exchange the totals of their reports and answer each report
+//! with the totals of all other boxes.
 
 mod limits;
 mod shares;
@@ -11,7 +16,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use limits::Requests;
+use limits::PermitRequests;
 use reachtally_core::Instant;
 use reachtally_core::forward::limit::Allocator;
 use reachtally_core::forward::loads::{self, Collector, Message, Others};
@@ -23,73 +28,71 @@
 
 use crate::relay::Relay;
 
-/// Time between two reports. A request lasts some seconds, so loads change little in between.
+/// Interval of the reports. Requests last some seconds, so loads change little in between.
 const REPORT_INTERVAL: Duration = Duration::from_millis(200);
-/// Time between two sums of the reports, since boxes report at different moments. Each takes a
-/// fraction of a millisecond.
-const SUM_INTERVAL: Duration = Duration::from_millis(50);
-/// Reports in a row without an answer after which another collector is chosen: one or two datagrams may
-/// be lost.
-const UNANSWERED: u32 = 3;
-/// Cooldown of a collector that did not answer: longer than the group takes to notice that it
-/// is gone.
-const AVOID_COLLECTOR: Duration = Duration::from_secs(5);
-/// Least time between two log lines on datagrams that do not decode.
-const MALFORMED_INTERVAL: Duration = Duration::from_secs(60);
+/// Interval at which a collector updates its totals; shorter than the report interval, since boxes report at different moments.
+/// An update takes a fraction of a millisecond.
+const TOTALS_INTERVAL: Duration = Duration::from_millis(50);
+/// Consecutive unanswered reports after which another collector is chosen. One or two datagrams may be lost.
+const MAX_UNANSWERED: u32 = 3;
+/// Cooldown of a collector that did not answer; longer than the group needs to detect that a box is gone.
+const COLLECTOR_COOLDOWN: Duration = Duration::from_secs(5);
+/// Minimum interval between log lines about malformed datagrams.
+const MALFORMED_LOG_INTERVAL: Duration = Duration::from_secs(60);
 
-/// Of this many reports one carries a page of all that is held, of suspects and of limits: it repairs what was lost.
-const PAGE_REPORTS: u64 = 10;
-/// The first reports of a box, which are answered with such a page each: it has just started.
-const REPORTS_OF_A_START: u64 = 5;
+/// One in this many reports also carries a page of all known suspects and limits, which makes up for lost datagrams.
+const FULL_PAGE_REPORTS: u64 = 10;
+/// The first reports of a box, each of which is answered with such a page, since the box has just started.
+const STARTUP_REPORTS: u64 = 5;
 
-/// Whether report `number` carries a page of all that is held, or is answered with one.
-fn is_page_due(number: u64) -> bool {
-    number < REPORTS_OF_A_START || number.is_multiple_of(PAGE_REPORTS)
+/// Whether report `number` carries a page of all known entries, or is answered with one.
+fn is_full_page_due(number: u64) -> bool {
+    number < STARTUP_REPORTS || number.is_multiple_of(FULL_PAGE_REPORTS)
 }
 
-/// Open the socket for loads.
+/// Binds the socket for datagrams.
 ///
 /// # Errors
-/// The system's, if the address is taken.
+/// If the address can't be bound, for example because it is in use.
 pub async fn bind(ip: IpAddr, port: u16) -> std::io::Result<UdpSocket> {
     UdpSocket::bind(SocketAddr::new(ip, port)).await
 }
 
-/// Sends and receives messages until the process ends.
+/// Sends and receives messages for the lifetime of the process.
 pub async fn run(relay: Rc<Relay>, socket: UdpSocket, run: Incarnation) {
     let mut tick = interval(REPORT_INTERVAL);
     tick.set_missed_tick_behavior(MissedTickBehavior::Delay);
-    let mut sum_tick = interval(SUM_INTERVAL);
-    sum_tick.set_missed_tick_behavior(MissedTickBehavior::Delay);
+    let mut totals_tick = interval(TOTALS_INTERVAL);
+    totals_tick.set_missed_tick_behavior(MissedTickBehavior::Delay);
     let mut gossip = match Gossip::new(relay.clone(), socket, run) {
         Ok(gossip) => gossip,
         Err(err) => {
-            log::error!(event = "report-failed", why:% = err; "loads are not told: the socket has no address");
+            log::error!(event = "report-failed", why:% = err; "gossip is disabled: failed to read the local address of the socket");
             return;
         }
     };
     let mut buf = [0; MESSAGE_MAX];
     loop {
         tokio::select! {
-            _ = tick.tick() => gossip.tell(),
-            _ = sum_tick.tick(), if gossip.collector.reporters() > 0 => gossip.sum_up(),
-            () = relay.suspicion.news.notified() => gossip.spread_suspects(None),
-            () = relay.limits.changed.notified() => gossip.spread_limits(None),
+            _ = tick.tick() => gossip.send_report(),
+            _ = totals_tick.tick(), if gossip.collector.reporters() > 0 => gossip.update_totals(),
+            () = relay.suspicion.news.notified() => gossip.propagate_suspects(None),
+            () = relay.limits.changed.notified() => gossip.propagate_limits(None),
             () = relay.limits.wanted.notified() => gossip.request_permits(),
             () = relay.shares.contended.notified() => gossip.report_rates(),
             received = gossip.socket.recv_from(&mut buf) => match received {
-                Ok((length, from)) => gossip.hear(&buf[..length], from.ip()),
-                Err(err) => log::debug!(event = "report-failed", why:% = err; "no message was received"),
+                Ok((length, from)) => gossip.receive(&buf[..length], from.ip()),
+                Err(err) => log::debug!(event = "report-failed", why:% = err; "failed to receive a datagram"),
             }
         }
     }
 }
 
-/// Where this box reports.
+/// The collector that this box reports to.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Target {
-    /// To itself.
-    Here,
+enum Destination {
+    /// The box itself.
+    Local,
     Box(IpAddr),
 }
 
@@ -98,18 +101,18 @@
     socket: UdpSocket,
     port: u16,
     run: Incarnation,
-    /// Numbers this box's reports.
+    /// Sequence number of the last report.
     number: u64,
     collector: Collector,
-    /// Where the last reports went.
-    target: Target,
-    /// Reports there since the last answer.
+    /// The collector that received the last reports.
+    destination: Destination,
+    /// Reports to that collector since its last answer.
     unanswered: u32,
-    avoid: Vec<(IpAddr, Instant)>,
+    unresponsive: Vec<(IpAddr, Instant)>,
     malformed_at: Option<Instant>,
-    /// Issues the permits of those that report here.
+    /// Allocates permits to the boxes that report to this one.
     allocator: Allocator,
-    requests: Requests,
+    permit_requests: PermitRequests,
     shares: Shares,
 }
 
@@ -124,100 +127,100 @@
             run,
             number: 0,
             collector,
-            target: Target::Here,
+            destination: Destination::Local,
             unanswered: 0,
-            avoid: Vec::new(),
+            unresponsive: Vec::new(),
             malformed_at: None,
             allocator: Allocator::default(),
-            requests: Requests::default(),
+            permit_requests: PermitRequests::default(),
             shares: Shares::default(),
         })
     }
 
-    /// Sends the report of this box, and the sums of its reports to other collectors.
-    fn tell(&mut self) {
+    /// Sends the report of this box and, as a collector, its totals to the other collectors.
+    fn send_report(&mut self) {
         let now = self.relay.now();
         self.number += 1;
-        self.choose(now);
+        self.choose_collector(now);
         let report = loads::own_report(self.run, self.number, &self.relay.fleet.borrow(), now);
-        match self.target {
-            Target::Here => self.collector.hear(report, self.ip(), now),
-            Target::Box(ip) => {
+        match self.destination {
+            Destination::Local => self.collector.hear(report, self.ip(), now),
+            Destination::Box(ip) => {
                 self.unanswered += 1;
                 for page in load::pages(&report) {
                     self.send(ip, &Message::Report(page));
                 }
             }
         }
-        self.tell_suspects();
-        self.sum_up();
+        self.report_suspects();
+        self.update_totals();
         self.report_limits();
         self.report_rates();
-        self.tell_peers();
-        if self.target == Target::Here && self.is_collector() {
-            self.take(self.collector.all_but(self.run), now);
+        self.send_totals();
+        if self.destination == Destination::Local && self.is_collector() {
+            self.update_remote_loads(self.collector.all_but(self.run), now);
         }
         let mut remote_loads = self.relay.remote_loads.borrow_mut();
         remote_loads.remove_expired(&mut self.relay.fleet.borrow_mut(), now);
         self.relay.admission.wake_all();
     }
 
-    /// Whether others may report here. A box without a collector only has its own report, which says nothing of the
-    /// number of boxes.
+    /// Whether other boxes may report to this one. A box that has no collector and is not one itself only knows its own report,
+    /// from which it can't infer the number of boxes.
     fn is_collector(&self) -> bool {
         self.relay.look(self.run, &[], |view| view.is_listed())
     }
 
-    /// Sends the sums of the reports to other collectors; most boxes have none.
-    fn tell_peers(&self) {
-        let parts = self.parts();
-        if parts.is_empty() {
+    /// Sends the totals of the received reports to the other collectors. Most boxes are no collectors and have no totals.
+    fn send_totals(&self) {
+        let totals = self.encoded_totals();
+        if totals.is_empty() {
             return;
         }
-        for ip in self.peers() {
-            for part in &parts {
+        for ip in self.peer_collectors() {
+            for part in &totals {
                 self.send_bytes(ip, part);
             }
         }
     }
 
-    fn sum_up(&mut self) {
+    fn update_totals(&mut self) {
         let now = self.relay.now();
         self.collector.sum_up(now);
         self.refill();
         self.compute_shares();
     }
 
-    /// Chooses where to report: the first reader of this failure domain that answers.
-    fn choose(&mut self, now: Instant) {
-        self.avoid
-            .retain(|(_, at)| now.since(*at) < AVOID_COLLECTOR);
-        if let Target::Box(ip) = self.target
-            && self.unanswered >= UNANSWERED
+    /// Chooses the collector: the first store reader of this failure domain that answers.
+    fn choose_collector(&mut self, now: Instant) {
+        self.unresponsive
+            .retain(|(_, at)| now.since(*at) < COLLECTOR_COOLDOWN);
+        if let Destination::Box(ip) = self.destination
+            && self.unanswered >= MAX_UNANSWERED
         {
-            log::info!(event = "collector-lost", from:% = ip; "a box does not answer reports of loads");
-            self.avoid.push((ip, now));
+            log::info!(event = "collector-lost", from:% = ip; "collector does not answer; reporting to another one");
+            self.unresponsive.push((ip, now));
         }
-        let avoid: Vec<IpAddr> = self.avoid.iter().map(|(ip, _)| *ip).collect();
+        let avoid: Vec<IpAddr> = self.unresponsive.iter().map(|(ip, _)| *ip).collect();
         let found = self.relay.look(self.run, &avoid, |view| view.collector());
-        let target = found.map_or(Target::Here, Target::Box);
-        if target != self.target {
+        let destination = found.map_or(Destination::Local, Destination::Box);
+        if destination != self.destination {
             self.leave();
-            self.target = target;
+            self.destination = destination;
             self.unanswered = 0;
         }
     }
 
-    /// Announces to the collector that this box reports elsewhere, so that it does not count twice: the shares of the retry budget
-    /// would be too small.
+    /// Announces to the collector that this box switches to another one. A box that is counted twice would make the shares of the
+    /// retry budget too small.
     fn leave(&mut self) {
-        match self.target {
-            Target::Here => {
+        match self.destination {
+            Destination::Local => {
                 self.collector.leave(self.run);
                 self.allocator.leave(self.run);
                 self.shares.aggregator.leave(self.run);
             }
-            Target::Box(ip) => self.send(ip, &Message::Leave(self.run)),
+            Destination::Box(ip) => self.send(ip, &Message::Leave(self.run)),
         }
     }
 
@@ -225,45 +228,45 @@
         self.relay.settings.borrow().ip
     }
 
-    fn parts(&self) -> Vec<bytes::Bytes> {
+    fn encoded_totals(&self) -> Vec<bytes::Bytes> {
         let parts = self.collector.parts(self.run);
         let encoded = parts.into_iter().map(Message::Part);
         encoded.flat_map(|part| load::datagrams(&part)).collect()
     }
 
-    /// Other collectors: those that were received from lately, and the first reader of each failure domain of which none
-    /// was.
-    fn peers(&self) -> BTreeSet<IpAddr> {
-        let told: Vec<(&str, IpAddr)> = self.collector.peers().collect();
-        let is_silent = |domain: &str| !told.iter().any(|(from, _)| *from == domain);
-        let silent: Vec<IpAddr> = self.relay.look(self.run, &[], |view| {
+    /// Returns the other collectors: those that sent their totals recently, and the first store reader of each remaining failure
+    /// domain.
+    fn peer_collectors(&self) -> BTreeSet<IpAddr> {
+        let known: Vec<(&str, IpAddr)> = self.collector.peers().collect();
+        let is_unknown = |domain: &str| !known.iter().any(|(from, _)| *from == domain);
+        let unknown: Vec<IpAddr> = self.relay.look(self.run, &[], |view| {
             let first = view.first_readers();
-            let silent = first.into_iter().filter(|(domain, _)| is_silent(domain));
-            silent.map(|(_, ip)| ip).collect()
+            let unknown = first.into_iter().filter(|(domain, _)| is_unknown(domain));
+            unknown.map(|(_, ip)| ip).collect()
         });
-        told.iter().map(|(_, ip)| *ip).chain(silent).collect()
+        known.iter().map(|(_, ip)| *ip).chain(unknown).collect()
     }
 
-    /// Other collectors, if this box is one.
-    fn collectors(&self) -> BTreeSet<IpAddr> {
+    /// Returns the other collectors if this box is a collector, and none otherwise.
+    fn collectors_to_inform(&self) -> BTreeSet<IpAddr> {
         match self.collector.reporters() {
             0 => BTreeSet::new(),
-            _ => self.peers(),
+            _ => self.peer_collectors(),
         }
     }
 
-    /// The boxes that a collector passes a change on to, without the one that it came from.
-    fn collected(&self, from: Option<IpAddr>) -> BTreeSet<IpAddr> {
+    /// Returns the boxes to which a collector forwards a change received from `from`.
+    fn collector_recipients(&self, from: Option<IpAddr>) -> BTreeSet<IpAddr> {
         let reporters = self.collector.reporters_ips();
-        let all = reporters.chain(self.collectors());
+        let all = reporters.chain(self.collectors_to_inform());
         all.filter(|ip| Some(*ip) != from && *ip != self.ip())
             .collect()
     }
 
-    /// All boxes that this one passes a change on to, without the one that it came from.
-    fn neighbours(&self, from: Option<IpAddr>) -> BTreeSet<IpAddr> {
-        let mut found = self.collected(from);
-        if let Target::Box(ip) = self.target
+    /// Returns all boxes to which this one forwards a change received from `from`.
+    fn recipients(&self, from: Option<IpAddr>) -> BTreeSet<IpAddr> {
+        let mut found = self.collector_recipients(from);
+        if let Destination::Box(ip) = self.destination
             && Some(ip) != from
         {
             found.insert(ip);
@@ -277,15 +280,15 @@
         }
     }
 
-    fn send_bytes(&self, ip: IpAddr, message: &[u8]) {
+    fn send_bytes(&self, ip: IpAddr, datagram: &[u8]) {
         let to = SocketAddr::new(ip, self.port);
-        // A message that can't be sent now is as good as lost; the next one follows.
-        if let Err(err) = self.socket.try_send_to(message, to) {
-            log::debug!(event = "report-failed", to:% = ip, why:% = err; "loads were not sent");
+        // A datagram that can't be sent now counts as lost; later reports make up for it.
+        if let Err(err) = self.socket.try_send_to(datagram, to) {
+            log::debug!(event = "report-failed", to:% = ip, why:% = err; "failed to send a datagram");
         }
     }
 
-    fn hear(&mut self, bytes: &[u8], from: IpAddr) {
+    fn receive(&mut self, bytes: &[u8], from: IpAddr) {
         let now = self.relay.now();
         match load::decode(bytes) {
             Ok(Message::Report(page)) => {
@@ -308,51 +311,51 @@
                 self.shares.aggregator.leave(run);
             }
             Ok(Message::Others(others)) => {
-                if self.target == Target::Box(from) {
+                if self.destination == Destination::Box(from) {
                     self.unanswered = 0;
                 }
-                self.take(others, now);
+                self.update_remote_loads(others, now);
             }
-            Ok(Message::Suspects(told)) => {
-                if self.relay.hear_suspects(&told) {
-                    self.spread_suspects(Some(from));
+            Ok(Message::Suspects(suspects)) => {
+                if self.relay.hear_suspects(&suspects) {
+                    self.propagate_suspects(Some(from));
                 }
             }
-            Ok(Message::Limits(reports)) => {
-                if self.relay.update_limits(&reports) {
-                    self.spread_limits(Some(from));
+            Ok(Message::Limits(limits)) => {
+                if self.relay.update_limits(&limits) {
+                    self.propagate_limits(Some(from));
                 }
             }
             Ok(Message::PermitRequest(req)) => self.answer_request(req, from),
             Ok(Message::Grants(grants)) => {
-                if self.target == Target::Box(from) {
-                    self.take_grants(&grants);
+                if self.destination == Destination::Box(from) {
+                    self.apply_grants(&grants);
                 }
             }
             Ok(Message::DemandPart(part)) => self.allocator.update_peer(part, now),
             Ok(Message::AccountRates(rates)) => self.update_rates(rates, from),
             Ok(Message::AccountShares(shares)) => {
-                if self.target == Target::Box(from) {
+                if self.destination == Destination::Box(from) {
                     self.relay.update_shares(shares);
                 }
             }
-            Err(err) => self.note_malformed(from, &err, now),
+            Err(err) => self.log_malformed(from, &err, now),
         }
     }
 
     /// Updates the loads of all other boxes.
-    fn take(&self, others: Others, now: Instant) {
+    fn update_remote_loads(&self, others: Others, now: Instant) {
         let mut remote_loads = self.relay.remote_loads.borrow_mut();
         remote_loads.hear(others, &mut self.relay.fleet.borrow_mut(), now);
         self.relay.admission.loads_received(now);
     }
 
-    fn note_malformed(&mut self, from: IpAddr, why: &load::LoadError, now: Instant) {
-        let is_recent = |at: Instant| now.since(at) < MALFORMED_INTERVAL;
+    fn log_malformed(&mut self, from: IpAddr, why: &load::LoadError, now: Instant) {
+        let is_recent = |at: Instant| now.since(at) < MALFORMED_LOG_INTERVAL;
         if self.malformed_at.is_some_and(is_recent) {
             return;
         }
         self.malformed_at = Some(now);
-        log::info!(event = "report-malformed", from:% = from, why:% = why; "a box's loads do not decode; more of these are not logged for a minute");
+        log::info!(event = "report-malformed", from:% = from, why:% = why; "failed to decode a datagram; further ones are not logged for a minute");
     }
 }
--- a/reachtally-relay/src/gossip/shares.rs
+++ b/reachtally-relay/src/gossip/shares.rs
@@ -1,4 +1,4 @@
-//! Rates of client accounts in contended services, and the shares that follow, to and from the other boxes.
+//! Gossip about the rates of client accounts in contended services, and about the fair shares computed from them.
 
 use std::net::IpAddr;
 
@@ -6,31 +6,31 @@
 use reachtally_core::forward::shares::{AccountRates, AccountShares, Aggregator, ServiceRates};
 use reachtally_protocol::shares::{pages_of_rates, pages_of_shares};
 
-use super::{Gossip, Target};
+use super::{Destination, Gossip};
 
-/// State of this box as a sender and as a collector of rates.
+/// State for sending and for collecting rates.
 #[derive(Debug, Default)]
 pub(super) struct Shares {
-    /// Number of the last message with rates.
+    /// Sequence number of the last message with rates.
     number: u64,
     pub aggregator: Aggregator,
 }
 
 impl Gossip {
-    /// Reports the rates of this box, where a service is contended. A collector also reports the sums of its boxes.
+    /// Reports the rates of this box for contended services. A collector also reports the totals of its boxes.
     pub(super) fn report_rates(&mut self) {
         let services = self.relay.contended_rates();
         if !services.is_empty() {
             let rates = self.account_rates(services, None);
-            match self.target {
-                Target::Box(ip) => self.send_rates(ip, &rates),
-                Target::Here => {
-                    self.take_rates(rates, self.ip());
+            match self.destination {
+                Destination::Box(ip) => self.send_rates(ip, &rates),
+                Destination::Local => {
+                    self.apply_rates(rates, self.ip());
                 }
             }
         }
-        self.report_sums();
-        if self.target == Target::Here {
+        self.report_total_rates();
+        if self.destination == Destination::Local {
             let shares = self.shares_for(self.number);
             self.relay.update_shares(shares);
         }
@@ -56,29 +56,29 @@
         }
     }
 
-    /// Reports the sums of the boxes that report here to other collectors.
-    fn report_sums(&mut self) {
+    /// Reports the totals of the boxes that report to this one to the other collectors.
+    fn report_total_rates(&mut self) {
         let services = self.shares.aggregator.own_rates().to_vec();
         if services.is_empty() {
             return;
         }
         let domain = self.relay.settings.borrow().domain.clone();
         let rates = self.account_rates(services, Some(domain));
-        for ip in self.collectors() {
+        for ip in self.collectors_to_inform() {
             self.send_rates(ip, &rates);
         }
     }
 
-    /// Updates the rates of another box. Where a service has become contended, other collectors are told immediately instead of with the next
-    /// report.
+    /// Updates the rates of another box. If a service has become contended, reports the totals to the other collectors immediately
+    /// instead of with the next report.
     pub(super) fn update_rates(&mut self, rates: AccountRates, from: IpAddr) {
-        if self.take_rates(rates, from) {
-            self.report_sums();
+        if self.apply_rates(rates, from) {
+            self.report_total_rates();
         }
     }
 
-    /// Updates the rates of the box at `from`, and the sums if a service has become contended; returns whether one has.
-    fn take_rates(&mut self, rates: AccountRates, from: IpAddr) -> bool {
+    /// Updates the rates of the box at `from`, and the totals if a service has become contended; returns whether one has.
+    fn apply_rates(&mut self, rates: AccountRates, from: IpAddr) -> bool {
         let now = self.relay.now();
         let is_new = self.shares.aggregator.update(rates, from, now);
         if is_new {
@@ -88,13 +88,13 @@
         is_new
     }
 
-    /// Computes the shares anew, if they are some time old.
+    /// Recomputes the shares if they are outdated.
     pub(super) fn compute_shares(&mut self) {
         let changes = self.shares.aggregator.sum_up(self.relay.now());
         self.relay.log_crossings(&changes);
     }
 
-    /// Answers report `number` of a box that reports here.
+    /// Sends the shares in answer to report `number` of another box.
     pub(super) fn answer_shares(&self, to: IpAddr, number: u64) {
         for page in pages_of_shares(&self.shares_for(number)) {
             self.send(to, &Message::AccountShares(page));
--- a/reachtally-relay/src/share/ask.rs
+++ b/reachtally-relay/src/share/ask.rs
@@ -361,13 +361,13 @@
             let evidence = evidence_of(&entry);
             (entry, evidence)
         });
-        relay.targets_shown(shown.collect());
+        relay.update_targets(shown.collect());
         for id in page.gone {
             relay.target_gone(&id, false);
         }
     }
     for id in page.lapsed {
-        relay.target_lapsed(&id);
+        relay.mark_missing(&id);
     }
     Ok(true)
 }
--- a/reachtally-relay/src/stream/chain.rs
+++ b/reachtally-relay/src/stream/chain.rs
@@ -284,7 +284,7 @@
             engines.filter(|key| ended.contains(key)).collect()
         };
         // Its own next event is not due yet: what a check found may be a lost packet.
-        if relay.now() < self.since + self.gaps.due_after() && !relay.has_ended(&lost) {
+        if relay.now() < self.since + self.gaps.due_after() && !relay.have_ended(&lost) {
             return Ok(());
         }
         if lost.is_empty() || self.begin_repair(relay, call, attempts, &lost) {
@@ -366,8 +366,8 @@
         let overdue_at = self.since + self.gaps.overdue_after();
         let dead = match relay.now() < overdue_at {
             true => {
-                let silent = relay.silent_for_all(self.engines(), self.gaps.due_after());
-                relay.dead_of(&silent).await
+                let silent = relay.silent_on_all_streams(self.engines(), self.gaps.due_after());
+                relay.find_dead(&silent).await
             }
             false => dead_of_silent(relay, self.engines(), self.gaps.overdue_after()).await,
         };
@@ -441,5 +441,5 @@
     }
     let since = relay.now().before(silence);
     let silent = relay.progress.borrow().silent_since(engines, since);
-    relay.dead_of(&silent).await
+    relay.find_dead(&silent).await
 }
--- a/reachtally-relay/src/stream/mod.rs
+++ b/reachtally-relay/src/stream/mod.rs
@@ -211,13 +211,13 @@
         Stopped::Whole => Next::Done,
         Stopped::Late => Next::Cut("it took as long as it may"),
         Stopped::Quarantined => Next::Cut("engines ended under it elsewhere"),
-        Stopped::Unread(why) if relay.dead_of(running.engines()).await.is_empty() => {
+        Stopped::Unread(why) if relay.find_dead(running.engines()).await.is_empty() => {
             Next::Unread(why)
         }
         Stopped::Broke(why) | Stopped::Unread(why) => {
             log::info!(event = "broke", id = &*call.head.id, why = &*why, last:? = splitter.last(), events = running.events(), targets = &*running.names(relay), fingerprint:% = call.fingerprint(); "a stream broke off");
             note_end(relay, call, running).await;
-            let dead = relay.dead_of(running.engines()).await;
+            let dead = relay.find_dead(running.engines()).await;
             match dead.is_empty() {
                 true => attempts.avoid.extend(running.engines().first()),
                 false => attempts.avoid.extend(dead),
--- a/reachtally-relay/src/stream/send.rs
+++ b/reachtally-relay/src/stream/send.rs
@@ -355,9 +355,9 @@
     } else {
         relay.target_refused(blamed);
         occupied.refused();
-        relay.dead_of(&[blamed]).await;
+        relay.find_dead(&[blamed]).await;
     }
-    let address = relay.address_of(blamed);
+    let address = relay.target_address(blamed);
     let why = format!("status {} by {address:?}", status.as_u16());
     Unanswered::NotRun(NeverStarted::TargetSaidSo, why)
 }
@@ -365,7 +365,7 @@
 /// The engine of a path that is to blame for a refusal. Another run may have its address by now, so the
 /// address alone does not tell.
 fn blamed(relay: &Relay, engines: &[EngineKey], head: &AnswerHead) -> EngineKey {
-    let is_at_fault = |key: &&EngineKey| relay.address_of(**key) == head.at_fault;
+    let is_at_fault = |key: &&EngineKey| relay.target_address(**key) == head.at_fault;
     let found = engines.iter().find(is_at_fault);
     found.copied().unwrap_or(engines[0])
 }
--- a/reachtally-relay/src/targets/answers.rs
+++ b/reachtally-relay/src/targets/answers.rs
@@ -14,44 +14,44 @@
         let Some(engine) = fleet.get(key) else {
             return;
         };
-        log::info!(event = "target-failed", target = &*engine.entry.id, address:% = engine.entry.address, why = why; "hold off a target");
+        log::info!(event = "target-failed", target = &*engine.entry.id, address:% = engine.entry.address, why = why; "target failed; it is in cooldown");
         fleet.failed(key, self.now());
         self.count(|tally| tally.target_failures += 1);
     }
 
-    /// Excludes a target that does not hold what its entry says, until the entry changes.
+    /// Excludes a target that contradicted its entry until the entry changes.
     pub fn target_contradicted(&self, key: EngineKey) {
         let now = self.now();
         if let Some(engine) = self.fleet.borrow_mut().get_mut(key) {
-            log::info!(event = "target-contradicted", target = &*engine.entry.id, address:% = engine.entry.address, layers:? = engine.entry.layers; "a target does not hold what its entry says");
+            log::info!(event = "target-contradicted", target = &*engine.entry.id, address:% = engine.entry.address, layers:? = engine.entry.layers; "target contradicted its entry; it is excluded until the entry changes");
             engine.health.contradicted(now);
         }
     }
 
-    /// Notes that a target refused a request because it is full.
+    /// Records that a target refused a request because it is at capacity.
     pub fn target_refused(&self, key: EngineKey) {
         let now = self.now();
         if let Some(engine) = self.fleet.borrow_mut().get_mut(key) {
-            log::info!(event = "target-refused", target = &*engine.entry.id, layers:? = engine.entry.layers, running = engine.running, elsewhere = engine.remote_running as u64, tokens = engine.tokens as u64, tokens_elsewhere = engine.remote_tokens as u64; "a target has no room");
+            log::info!(event = "target-refused", target = &*engine.entry.id, layers:? = engine.entry.layers, running = engine.running, elsewhere = engine.remote_running as u64, tokens = engine.tokens as u64, tokens_elsewhere = engine.remote_tokens as u64; "target refused a request: at capacity");
             engine.health.refused(now);
         }
     }
 
-    /// Applies what a target says of itself in an answer.
-    pub fn target_said(&self, run: &TargetRun, said: Statement) {
-        if let Some(back_off) = said.back_off {
-            self.target_asks_for_back_off(run, back_off);
+    /// Applies what a target states about itself in an answer.
+    pub fn target_said(&self, run: &TargetRun, statement: Statement) {
+        if let Some(back_off) = statement.back_off {
+            self.target_requests_back_off(run, back_off);
         }
-        if said.is_leaving {
+        if statement.is_leaving {
             self.target_leaves(run);
         }
-        match said.limit {
+        match statement.limit {
             LimitHeader::Named(limit) => self.target_limits(run, limit),
             LimitHeader::Absent | LimitHeader::Malformed => {}
         }
     }
 
-    /// Marks a target as leaving: it gets nothing more from this box, whatever its entry says.
+    /// Marks a target as leaving. This box sends it no more requests, whatever its entry says.
     fn target_leaves(&self, run: &TargetRun) {
         let mut is_new = false;
         self.fleet.borrow_mut().note(run, self.now(), |notice| {
@@ -59,20 +59,20 @@
             notice.leave();
         });
         if is_new {
-            log::info!(event = "target-leaves", target = &*run.id; "a target said in an answer that it leaves");
+            log::info!(event = "target-leaves", target = &*run.id; "target announced in an answer that it is leaving");
         }
     }
 
-    /// A target asks this box to back off for a time.
-    fn target_asks_for_back_off(&self, run: &TargetRun, back_off: Duration) {
+    /// Starts a back-off that a target requested from this box.
+    fn target_requests_back_off(&self, run: &TargetRun, back_off: Duration) {
         let now = self.now();
         self.count(|tally| tally.rests_asked += 1);
-        log::info!(event = "target-rests", target = &*run.id, rest_ms = back_off.as_millis() as u64; "a target wants nothing from this box for a time");
+        log::info!(event = "target-rests", target = &*run.id, rest_ms = back_off.as_millis() as u64; "target requested a back-off; no requests are sent to it until then");
         let mut fleet = self.fleet.borrow_mut();
         fleet.note(run, now, |notice| notice.back_off(now + back_off));
     }
 
-    /// Counts a send to a target that this box should back off from.
+    /// Counts a send to a target during a requested back-off.
     pub(crate) fn count_in_back_off(&self, key: EngineKey) {
         let fleet = self.fleet.borrow();
         let now = self.now();
--- a/reachtally-relay/src/targets/mod.rs
+++ b/reachtally-relay/src/targets/mod.rs
@@ -1,4 +1,4 @@
-//! What becomes known of targets, each in a module of its own: by their entries, by what they answer, and by whether they take
+//! Tracking of targets: their entries, their answers and failures, and whether they and their failure domains accept
 //! connections.
 
 mod answers;
--- a/reachtally-relay/src/targets/presence.rs
+++ b/reachtally-relay/src/targets/presence.rs
@@ -1,4 +1,4 @@
-//! Whether targets accept connections.
+//! Liveness of targets: whether they accept connections.
 
 use std::cell::Cell;
 use std::net::SocketAddr;
@@ -12,42 +12,43 @@
 use crate::target::{self, Probe};
 use crate::targets::check;
 
-/// Time for which the result of a check holds, so that the streams of one engine
-/// check once.
+/// Time for which the result of a check is reused, so that the streams over one engine
+/// share a check.
 const CHECK_INTERVAL: Duration = Duration::from_millis(150);
-/// Streams of this box over one engine whose silence together shows as much as the longer silence of one.
-const SEVERAL_STREAMS: u32 = 3;
-/// Silent targets that are probed together without any answer from which on their failure domains may be unreachable.
-const SEVERAL_TARGETS: usize = 2;
-/// Most dead targets that are probed at a time.
-const MOST_PROBED: usize = 16;
-
-/// What is known of a target's presence.
+/// Number of streams over one engine whose simultaneous silence is as significant as a longer silence of a single stream.
+const MIN_SILENT_STREAMS: u32 = 3;
+/// Number of targets that are probed together without any answer from which their failure domains are suspected to be
+/// unreachable.
+const MIN_SILENT_TARGETS: usize = 2;
+/// Maximum number of dead targets that are probed at a time.
+const MAX_PROBED: usize = 16;
+
+/// What is known about a target without a probe.
 enum Presence {
     Alive,
     Dead,
-    /// It has to be asked at this address.
+    /// The target has to be probed at this address.
     Unknown(SocketAddr),
 }
 
-/// What a check of several targets showed.
+/// The result of a check of several targets.
 #[derive(Debug, Default)]
 pub(super) struct Checked {
-    /// Those that take no connections.
+    /// Targets that do not accept connections.
     pub dead: Vec<EngineKey>,
-    /// Those of them that were probed for it.
+    /// The subset of `dead` that was found by probes of this check.
     pub silent: Vec<EngineKey>,
-    /// Whether the machine of any answered.
+    /// Whether the host of any target answered, if only by refusing the connection.
     pub is_answered: bool,
 }
 
 impl Relay {
-    /// Marks a target as dead: it accepted no connection. Wakes the streams over it.
+    /// Marks a target as dead, since it accepted no connection, and wakes the streams over it.
     pub fn target_dead(&self, key: EngineKey) {
-        self.targets_dead(&[key]);
+        self.mark_dead(&[key]);
     }
 
-    fn targets_dead(&self, keys: &[EngineKey]) {
+    fn mark_dead(&self, keys: &[EngineKey]) {
         let now = self.now();
         let mut found = Vec::new();
         let mut fleet = self.fleet.borrow_mut();
@@ -56,7 +57,7 @@
                 continue;
             };
             if !engine.health.is_dead() {
-                log::info!(event = "target-dead", target = &*engine.entry.id, address:% = engine.entry.address; "a target takes no connections");
+                log::info!(event = "target-dead", target = &*engine.entry.id, address:% = engine.entry.address; "target does not accept connections; marked dead");
                 self.count(|tally| tally.targets_found_dead += 1);
                 found.push(*key);
             }
@@ -68,8 +69,8 @@
         }
     }
 
-    /// Whether all of these targets are gone or started again, other than being found dead by a check.
-    pub(crate) fn has_ended(&self, keys: &[EngineKey]) -> bool {
+    /// Whether all of these targets are gone or have restarted, as opposed to being found dead by a check.
+    pub(crate) fn have_ended(&self, keys: &[EngineKey]) -> bool {
         let fleet = self.fleet.borrow();
         keys.iter().all(|key| {
             fleet
@@ -78,8 +79,8 @@
         })
     }
 
-    /// Those of `engines` over which several streams of this box run, none of which had an event for `silence`.
-    pub(crate) fn silent_for_all(
+    /// Returns those of `engines` over which several streams of this box run, none of which had an event for `silence`.
+    pub(crate) fn silent_on_all_streams(
         &self,
         engines: &[EngineKey],
         silence: Duration,
@@ -89,48 +90,49 @@
         let has_several = |key: &EngineKey| {
             fleet
                 .get(*key)
-                .is_some_and(|engine| engine.running >= SEVERAL_STREAMS)
+                .is_some_and(|engine| engine.running >= MIN_SILENT_STREAMS)
         };
         let silent = self.progress.borrow().silent_since(engines, since);
         silent.into_iter().filter(has_several).collect()
     }
 
-    /// Handles a connection attempt without an answer. A packet may have been lost, or the whole failure domain may be unreachable.
+    /// Handles a connection attempt that was not answered. A packet may have been lost, or the whole failure domain may be
+    /// unreachable.
     pub fn target_silent(&self, key: EngineKey) {
         self.target_refused(key);
         self.suspect_domains(&[key]);
     }
 
-    /// Returns the address of a target, if it is known.
-    pub(crate) fn address_of(&self, key: EngineKey) -> Option<SocketAddr> {
+    /// Returns the address of a target, if the target is known.
+    pub(crate) fn target_address(&self, key: EngineKey) -> Option<SocketAddr> {
         let fleet = self.fleet.borrow();
         fleet.get(key).map(|engine| engine.entry.address)
     }
 
-    pub(super) fn domain_of(&self, key: EngineKey) -> Option<Arc<str>> {
+    pub(super) fn target_domain(&self, key: EngineKey) -> Option<Arc<str>> {
         let fleet = self.fleet.borrow();
         fleet.get(key).map(|engine| engine.entry.domain.clone())
     }
 
-    /// Those of `engines` that take no connections. Each is asked at most every [`CHECK_INTERVAL`].
-    pub async fn dead_of(&self, engines: &[EngineKey]) -> Vec<EngineKey> {
+    /// Returns those of `engines` that do not accept connections. Each is probed at most once per [`CHECK_INTERVAL`].
+    pub async fn find_dead(&self, engines: &[EngineKey]) -> Vec<EngineKey> {
         let checked = self.check(engines).await;
-        if !checked.is_answered && checked.silent.len() >= SEVERAL_TARGETS {
+        if !checked.is_answered && checked.silent.len() >= MIN_SILENT_TARGETS {
             self.suspect_domains(&checked.silent);
         }
         checked.dead
     }
 
-    /// Probes those of `engines` of which nothing is known.
+    /// Checks `engines`, and probes those whose state is unknown.
     pub(super) async fn check(&self, engines: &[EngineKey]) -> Checked {
         let now = self.now();
         let mut checked = Checked::default();
-        let mut asked = Vec::new();
+        let mut unknown = Vec::new();
         for key in engines {
             match self.presence(*key, now) {
                 Presence::Dead => checked.dead.push(*key),
                 Presence::Alive => checked.is_answered = true,
-                Presence::Unknown(address) => asked.push((*key, address)),
+                Presence::Unknown(address) => unknown.push((*key, address)),
             }
         }
         let is_refused = Cell::new(false);
@@ -140,17 +142,17 @@
             is_refused.set(is_refused.get() || answer == Probe::Refused);
             (key, answer == Probe::Accepted)
         };
-        let present = check::present(asked.iter().copied().map(probe)).await;
-        present.iter().for_each(|key| self.target_there(*key));
+        let present = check::present(unknown.iter().copied().map(probe)).await;
+        present.iter().for_each(|key| self.mark_alive(*key));
         checked.is_answered |= is_refused.get() || !present.is_empty();
-        let asked = asked.iter().map(|(key, _)| *key);
-        checked.silent = asked.filter(|key| !present.contains(key)).collect();
-        self.targets_dead(&checked.silent);
+        let unknown = unknown.iter().map(|(key, _)| *key);
+        checked.silent = unknown.filter(|key| !present.contains(key)).collect();
+        self.mark_dead(&checked.silent);
         checked.dead.extend(&checked.silent);
         checked
     }
 
-    /// What is known of a target's presence without asking.
+    /// Returns what is known about a target without a probe.
     fn presence(&self, key: EngineKey, now: Instant) -> Presence {
         let fleet = self.fleet.borrow();
         let Some(engine) = fleet.get(key) else {
@@ -166,7 +168,7 @@
         }
     }
 
-    /// Those of `engines` that are gone or known to be dead, here or by several other boxes.
+    /// Returns those of `engines` that are gone, or known to be dead by this box or by several other boxes.
     pub fn known_dead(&self, engines: &[EngineKey]) -> Vec<EngineKey> {
         let fleet = self.fleet.borrow();
         let is_dead = |key: &&EngineKey| {
@@ -183,25 +185,25 @@
         target::probe(address).await
     }
 
-    /// Probes the dead targets that are due.
-    pub(crate) async fn probe_dead(&self) {
-        let due = self.fleet.borrow().due_for_probe(self.now(), MOST_PROBED);
+    /// Probes the dead targets that are due for a probe.
+    pub(crate) async fn probe_dead_targets(&self) {
+        let due = self.fleet.borrow().due_for_probe(self.now(), MAX_PROBED);
         futures::future::join_all(due.into_iter().map(|key| self.probe_dead_target(key))).await;
     }
 
     async fn probe_dead_target(&self, key: EngineKey) {
-        let Some(address) = self.address_of(key) else {
+        let Some(address) = self.target_address(key) else {
             return;
         };
         if self.probe(address).await == Probe::Accepted {
-            log::info!(event = "target-back", address:% = address; "a dead target takes connections again");
-            self.target_there(key);
+            log::info!(event = "target-back", address:% = address; "dead target accepts connections again");
+            self.mark_alive(key);
         } else if let Some(engine) = self.fleet.borrow_mut().get_mut(key) {
             engine.health.probed_in_vain(self.now());
         }
     }
 
-    fn target_there(&self, key: EngineKey) {
+    fn mark_alive(&self, key: EngineKey) {
         if let Some(engine) = self.fleet.borrow_mut().get_mut(key) {
             engine.health.found_alive(self.now());
         }
