--- a/reachtally-relay/src/follow/absent.rs
+++ b/reachtally-relay/src/follow/absent.rs
@@ -1,4 +1,4 @@
-//! Targets whose entries are missing, and those that take no connections.
+//! Loops for targets whose entries are missing, and for targets that do not accept connections.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -7,25 +7,26 @@
 
 use crate::relay::Relay;
 
-/// Time between two looks at targets whose entries are missing: a small part of the time in which a
-/// target that left must be left alone.
-const MISSING_INTERVAL: Duration = Duration::from_millis(200);
-/// Time between two looks at dead targets and unreachable failure domains.
-const AWAY_INTERVAL: Duration = Duration::from_millis(700);
+/// Interval at which targets with missing entries are checked; a fraction of the time within which a box must stop sending requests
+/// to a target that left.
+const MISSING_CHECK_INTERVAL: Duration = Duration::from_millis(200);
+/// Interval at which dead targets and unreachable failure domains are probed.
+const DEAD_PROBE_INTERVAL: Duration = Duration::from_millis(700);
 
-/// Drop targets whose entries stay away, until the process ends.
+/// Removes targets whose entries stay missing, for the lifetime of the process.
 pub async fn targets_missing(relay: Rc<Relay>) {
     loop {
-        sleep(MISSING_INTERVAL).await;
+        sleep(MISSING_CHECK_INTERVAL).await;
         relay.remove_missing();
     }
 }
 
-/// Checks failure domains that may be unreachable, and probes dead targets and unreachable domains, until the process ends.
+/// Checks failure domains that may be unreachable, and probes dead targets and unreachable domains, for the lifetime of the
+/// process.
 pub async fn targets_dead(relay: Rc<Relay>) {
     let probing = async {
         loop {
-            sleep(AWAY_INTERVAL).await;
+            sleep(DEAD_PROBE_INTERVAL).await;
             tokio::join!(relay.probe_dead_targets(), relay.probe_unreachable());
         }
     };
--- a/reachtally-relay/src/follow/config.rs
+++ b/reachtally-relay/src/follow/config.rs
@@ -1,4 +1,4 @@
-//! The configuration, as the store has it.
+//! Synchronization of the configuration with the store.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -9,80 +9,84 @@
 use tokio::time::sleep;
 
 use super::dependency::Dependency;
-use super::pause::{FIRST_PAUSE, Pause};
+use super::pause::{Backoff, INITIAL_DELAY};
 use crate::relay::Relay;
 use crate::store::{Feed, Offset, Store, StoreError};
 
-/// Shortest wait of a read of the configuration while the store is slow. What a read confirms is as old as the read is
-/// long, so a slow answer leaves less time to wait.
-const LEAST_CONFIG_WAIT: Duration = Duration::from_millis(50);
+/// Minimum wait of a read of the configuration while the store is slow. What a read confirms is as old as the read takes, so the
+/// wait is reduced by the latency of the store.
+const MIN_CONFIG_WAIT: Duration = Duration::from_millis(50);
 
-/// Keep the configuration like the store's, while this box reads the store itself.
+/// Keeps the configuration in sync with the store while this box reads the store itself.
 pub async fn config<S: Store>(relay: Rc<Relay>, store: S) {
     let mut next: Option<Position> = None;
-    let mut pause = Pause::new();
+    let mut backoff = Backoff::new();
     let mut dependency = Dependency::new("configuration");
     let mut wait = relay.rhythm().config_wait;
     loop {
         relay.until_direct().await;
-        let began = relay.now();
+        let started_at = relay.now();
         let read = match next {
             None => store.config().await,
             Some(from) => store.config_from(Offset(from.offset), wait).await,
         };
         if read.as_ref().is_ok_and(|feed| feed.items.is_empty()) {
-            wait = next_wait(relay.now().since(began), wait, relay.rhythm().config_wait);
+            wait = next_wait(
+                relay.now().since(started_at),
+                wait,
+                relay.rhythm().config_wait,
+            );
         }
         let is_first = next.is_none();
-        let taken = read.and_then(|feed| take_config(&relay, feed, next, began));
-        relay.store_away.set(taken.is_err());
-        match taken {
+        let applied = read.and_then(|feed| apply_config(&relay, feed, next, started_at));
+        relay.store_away.set(applied.is_err());
+        match applied {
             Ok(position) => {
                 if dependency.regained(relay.now()) {
                     relay.suspicion.store_back.notify_one();
                 }
-                pause.reset();
+                backoff.reset();
                 next = Some(position);
                 if is_first && relay.configuration.table().is_none() {
-                    sleep(FIRST_PAUSE).await;
+                    sleep(INITIAL_DELAY).await;
                 }
             }
-            // The shortest pause, here and where records are gone: the store answers again, but one whose era changes with each
-            // answer must not be asked without end. With the pause that had grown while it was away, what was written after its
-            // return from a copy would be read a second later than after an outage.
+            // Here and where records are gone, the backoff restarts at its initial delay. The store answers again, so with the delay
+            // that has grown during the outage, writes after a restore from a copy would be read a second later than after a plain
+            // outage. Without any delay, a store whose epoch changes with each answer would be called in a busy loop.
             Err(StoreError::EraChanged) => {
                 next = None;
-                pause.reset();
-                pause.wait(&relay).await;
+                backoff.reset();
+                backoff.wait(&relay).await;
             }
             Err(err) => {
                 dependency.lost(&relay, &err);
                 if err == StoreError::Gone {
-                    pause.reset();
+                    backoff.reset();
                 }
                 if err.needs_newest() {
                     next = None;
                 }
-                pause.wait(&relay).await;
+                backoff.wait(&relay).await;
             }
         }
     }
 }
 
-/// How long the next read may wait after one that waited for `wait` in vain and `took` this long.
-fn next_wait(took: Duration, wait: Duration, longest: Duration) -> Duration {
+/// Returns the wait of the next read, after a read with the wait `wait` that returned no changes after `took`.
+fn next_wait(took: Duration, wait: Duration, max: Duration) -> Duration {
     let latency = took.saturating_sub(wait);
-    longest.saturating_sub(latency).max(LEAST_CONFIG_WAIT)
+    max.saturating_sub(latency).max(MIN_CONFIG_WAIT)
 }
 
-/// Put in force what a read from `from` on, which began at `began`, yielded; yields where to read on.
-fn take_config(
+/// Applies the result of a read from `from` that started at `started_at`; returns the position of the next read.
+fn apply_config(
     relay: &Relay,
     feed: Feed<Bytes>,
     from: Option<Position>,
-    began: Instant,
+    started_at: Instant,
 ) -> Result<Position, StoreError> {
-    let next = relay.position_after(&feed, began)?;
+    let next = relay.position_after(&feed, started_at)?;
     if from.is_some_and(|from| from.era != next.era) {
         return Err(StoreError::EraChanged);
     }
@@ -93,7 +97,7 @@
         relay.note_configured(next.era);
     }
     if relay.configuration.table().is_some() && !relay.may_lack_configuration() {
-        relay.configuration.confirm(began);
+        relay.configuration.confirm(started_at);
     }
     Ok(next)
 }
--- a/reachtally-relay/src/follow/dependency.rs
+++ b/reachtally-relay/src/follow/dependency.rs
@@ -1,11 +1,11 @@
-//! The loss and the return of what this box depends on, for the log.
+//! Logging of the loss and recovery of dependencies.
 
 use reachtally_core::Instant;
 
 use crate::relay::Relay;
 use crate::store::StoreError;
 
-/// Logs a dependency's loss and return once each.
+/// Logs the loss and the recovery of a dependency once each.
 pub(crate) struct Dependency {
     name: &'static str,
     lost_at: Option<Instant>,
@@ -27,7 +27,7 @@
         relay.count(|tally| tally.store_reads_failed += 1);
         let now = relay.now();
         if self.lost_at.is_none() {
-            log::warn!(event = "lost-dependency", dependency = self.name, why:% = why; "a dependency was lost");
+            log::warn!(event = "lost-dependency", dependency = self.name, why:% = why; "lost a dependency; retrying");
             self.lost_at = Some(now);
         }
     }
@@ -36,7 +36,7 @@
         let Some(at) = self.lost_at.take() else {
             return false;
         };
-        log::info!(event = "regained", dependency = self.name, away_ms = now.since(at).as_millis() as u64; "a dependency is back");
+        log::info!(event = "regained", dependency = self.name, away_ms = now.since(at).as_millis() as u64; "dependency recovered");
         true
     }
 }
--- a/reachtally-relay/src/follow/mod.rs
+++ b/reachtally-relay/src/follow/mod.rs
@@ -1,4 +1,4 @@
-//! Loops that keep the tables like the store: configuration and targets.
+//! Loops that keep the configuration, the targets and the suspect requests in sync with the store.
 
 mod absent;
 mod config;
--- a/reachtally-relay/src/follow/pause.rs
+++ b/reachtally-relay/src/follow/pause.rs
@@ -1,4 +1,4 @@
-//! Pauses after failed calls to the store.
+//! Exponential backoff after failed calls to the store.
 
 use std::time::Duration;
 
@@ -6,32 +6,32 @@
 
 use crate::relay::Relay;
 
-/// First pause after a failed call.
-pub(super) const FIRST_PAUSE: Duration = Duration::from_millis(60);
-/// Longest pause after one.
-const LONGEST_PAUSE: Duration = Duration::from_millis(500);
-/// Longest pause of a box beside the reader of its failure domain, which learns from that one of the
-/// store's return.
-const LONGEST_PAUSE_BESIDE: Duration = Duration::from_millis(2500);
+/// Delay after the first failed call.
+pub(super) const INITIAL_DELAY: Duration = Duration::from_millis(60);
+/// Maximum delay.
+const MAX_DELAY: Duration = Duration::from_millis(500);
+/// Maximum delay of a box that is not the store reader of its failure domain; it learns of the recovery of the store from that
+/// reader.
+const MAX_DELAY_STANDBY: Duration = Duration::from_millis(2500);
 
-/// A pause that grows with each failure in a row.
-pub(super) struct Pause(Duration);
+/// A delay that doubles with each consecutive failure.
+pub(super) struct Backoff(Duration);
 
-impl Pause {
+impl Backoff {
     pub fn new() -> Self {
-        Pause(FIRST_PAUSE)
+        Backoff(INITIAL_DELAY)
     }
 
     pub fn reset(&mut self) {
-        self.0 = FIRST_PAUSE;
+        self.0 = INITIAL_DELAY;
     }
 
     pub async fn wait(&mut self, relay: &Relay) {
         sleep(self.0).await;
-        let longest = match relay.is_reader.get() {
-            true => LONGEST_PAUSE,
-            false => LONGEST_PAUSE_BESIDE,
+        let max = match relay.is_reader.get() {
+            true => MAX_DELAY,
+            false => MAX_DELAY_STANDBY,
         };
-        self.0 = (self.0 * 2).min(longest);
+        self.0 = (self.0 * 2).min(max);
     }
 }
--- a/reachtally-relay/src/follow/suspects.rs
+++ b/reachtally-relay/src/follow/suspects.rs
@@ -1,76 +1,78 @@
-//! Requests that are stopped, as the store keeps them.
+//! Persistence of quarantined requests in the store.
 //!
-//! Boxes tell each other of such requests; the store is for the case that all of them start again at once. Without it each
-//! request would cost engines anew.
+//! Boxes exchange quarantined requests by gossip; the store covers a simultaneous restart of all boxes, after which each of these
+//! requests would crash engines again.
 
 use std::rc::Rc;
 
 use reachtally_core::forward::quarantine::Told;
 
 use super::dependency::Dependency;
-use super::pause::Pause;
+use super::pause::Backoff;
 use crate::relay::Relay;
 use crate::store::{Store, SuspectChange};
 
-/// Requests that one box drops from the store at a time, of those whose time is over.
-const MOST_DROPPED: usize = 64;
+/// Maximum number of expired requests that a box removes from the store at a time.
+const MAX_REMOVED: usize = 64;
 
-/// Take over what is kept, while this box reads the store, and keep what this box finds.
+/// Loads the stored requests while this box reads the store, and persists the requests that it quarantines.
 pub async fn suspects<S: Store>(relay: Rc<Relay>, store: S) {
-    tokio::join!(take_over(&relay, &store), keep(&relay, &store));
+    tokio::join!(load_stored(&relay, &store), persist_changes(&relay, &store));
 }
 
-/// Read what is kept at the start, unless nothing can be kept yet, and again when the store was away: a box that started meanwhile may
-/// know no other box that could tell it.
-async fn take_over<S: Store>(relay: &Relay, store: &S) {
+/// Loads the stored requests at the start, and again after each outage of the store: a box that started during the outage may know
+/// no other box to learn them from. On the very first start nothing is stored yet, so the load waits until this box reads the
+/// store.
+async fn load_stored<S: Store>(relay: &Relay, store: &S) {
     let is_first_start = relay.settings.borrow().is_first_start;
     if is_first_start {
         relay.until_direct().await;
     }
     loop {
-        let kept = read(relay, store).await;
-        let (over, kept): (Vec<Told>, Vec<Told>) =
-            kept.into_iter().partition(|told| told.life.is_zero());
-        relay.take_over_suspects(&kept);
-        drop_from_store(store, &over).await;
+        let stored = read_stored(relay, store).await;
+        let (expired, stored): (Vec<Told>, Vec<Told>) = stored
+            .into_iter()
+            .partition(|suspect| suspect.life.is_zero());
+        relay.take_over_suspects(&stored);
+        remove_from_store(store, &expired).await;
         relay.suspicion.store_back.notified().await;
         relay.until_direct().await;
     }
 }
 
-/// Read until the store answers.
-async fn read<S: Store>(relay: &Relay, store: &S) -> Vec<Told> {
-    let mut pause = Pause::new();
+/// Reads the stored requests, with retries until the store answers.
+async fn read_stored<S: Store>(relay: &Relay, store: &S) -> Vec<Told> {
+    let mut backoff = Backoff::new();
     let mut dependency = Dependency::new("suspects");
     loop {
         match store.suspects().await {
-            Ok(kept) => {
+            Ok(stored) => {
                 dependency.regained(relay.now());
-                return kept;
+                return stored;
             }
             Err(err) => dependency.lost(relay, &err),
         }
-        pause.wait(relay).await;
+        backoff.wait(relay).await;
     }
 }
 
-/// Drop requests whose time is over.
-async fn drop_from_store<S: Store>(store: &S, over: &[Told]) {
-    let drops = over.iter().take(MOST_DROPPED);
-    let drops: Vec<SuspectChange> = drops
-        .map(|told| SuspectChange::Drop(told.fingerprint))
+/// Removes expired requests from the store.
+async fn remove_from_store<S: Store>(store: &S, expired: &[Told]) {
+    let removals = expired.iter().take(MAX_REMOVED);
+    let removals: Vec<SuspectChange> = removals
+        .map(|suspect| SuspectChange::Drop(suspect.fingerprint))
         .collect();
-    if drops.is_empty() {
+    if removals.is_empty() {
         return;
     }
-    // The next box that reads them does it otherwise.
-    if let Err(err) = store.change_suspects(&drops).await {
-        log::debug!(event = "suspects-not-dropped", why:% = err; "requests whose time is over stay in the store");
+    // On a failure, the next box that reads them removes them.
+    if let Err(err) = store.change_suspects(&removals).await {
+        log::debug!(event = "suspects-not-dropped", why:% = err; "failed to remove expired requests from the store");
     }
 }
 
-async fn keep<S: Store>(relay: &Relay, store: &S) {
-    let mut pause = Pause::new();
+async fn persist_changes<S: Store>(relay: &Relay, store: &S) {
+    let mut backoff = Backoff::new();
     let mut dependency = Dependency::new("suspects-kept");
     loop {
         let changes = relay.unkept_suspects().await;
@@ -78,11 +80,11 @@
             Ok(()) => {
                 relay.suspects_kept(&changes);
                 dependency.regained(relay.now());
-                pause.reset();
+                backoff.reset();
             }
             Err(err) => {
                 dependency.lost(relay, &err);
-                pause.wait(relay).await;
+                backoff.wait(relay).await;
             }
         }
     }
--- a/reachtally-relay/src/follow/targets.rs
+++ b/reachtally-relay/src/follow/targets.rs
@@ -1,4 +1,4 @@
-//! The targets, as the store lists them.
+//! Synchronization of the targets with the store.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -9,217 +9,217 @@
 use tokio::time::sleep;
 
 use super::dependency::Dependency;
-use super::pause::Pause;
+use super::pause::Backoff;
 use crate::relay::Relay;
 use crate::store::{Offset, Store, StoreError, TargetChange};
 
-/// How long after the store's return missing entries may still come back.
-const LAPSE_WINDOW: Duration = Duration::from_millis(2500);
-/// Failed reads in a row after which the targets are left to the reads of the configuration, which fail
-/// too. A single one may be a lost packet.
-const FAILURES_AWAY: u32 = 3;
-/// Time between two looks whether the store is back.
-const AWAY_PAUSE: Duration = Duration::from_millis(100);
-/// After a pause this long in reading, a new list is cheaper than the heartbeats since.
-const LONGEST_GAP: Duration = Duration::from_secs(3);
+/// Time after the recovery of the store during which missing entries may still reappear.
+const RESTORE_WINDOW: Duration = Duration::from_millis(2500);
+/// Consecutive failed reads after which only the configuration loop, whose reads fail too, probes the store. A single failure may
+/// be a lost packet.
+const MAX_FAILURES: u32 = 3;
+/// Interval at which the recovery of the store is checked.
+const OUTAGE_POLL_INTERVAL: Duration = Duration::from_millis(100);
+/// Maximum gap between reads that is bridged by reading the changes. After a longer one, the complete list is cheaper than all
+/// heartbeats since.
+const MAX_INCREMENTAL_GAP: Duration = Duration::from_secs(3);
 
-/// Keep the targets like the store's, while this box reads the store itself.
+/// Keeps the targets in sync with the store while this box reads the store itself.
 pub async fn targets<S: Store>(relay: Rc<Relay>, store: S) {
-    let mut following = Following::new();
+    let mut watcher = TargetWatcher::new();
     loop {
         relay.until_direct().await;
-        if relay.store_away.get() && following.failures >= FAILURES_AWAY {
-            // The reads of the configuration will show the store's return.
-            sleep(AWAY_PAUSE).await;
+        if relay.store_away.get() && watcher.failures >= MAX_FAILURES {
+            // The configuration loop detects the recovery of the store.
+            sleep(OUTAGE_POLL_INTERVAL).await;
             continue;
         }
-        let read = following.read(&relay, &store).await;
-        match following.judge(&relay, read) {
-            Next::AtOnce => {}
-            Next::InTime => sleep(relay.rhythm().targets_interval).await,
-            Next::AfterPause => following.pause.wait(&relay).await,
+        let read = watcher.read(&relay, &store).await;
+        match watcher.handle_read(&relay, read) {
+            NextRead::Immediately => {}
+            NextRead::AfterInterval => sleep(relay.rhythm().targets_interval).await,
+            NextRead::AfterBackoff => watcher.backoff.wait(&relay).await,
         }
     }
 }
 
-/// When the targets are read next.
-enum Next {
-    AtOnce,
-    InTime,
-    AfterPause,
+/// When the next read takes place.
+enum NextRead {
+    Immediately,
+    AfterInterval,
+    AfterBackoff,
 }
 
-/// How far the targets are followed.
-struct Following {
-    /// Whether the whole list is read next, not what changed since.
+/// State of the synchronization.
+struct TargetWatcher {
+    /// Whether the next read gets the complete list instead of the changes.
     needs_list: bool,
-    /// When the list is compared with the store's again, after its return from a copy.
-    check_at: Option<Instant>,
-    /// When the store was back after it had been away.
-    back_at: Option<Instant>,
-    /// Reads in a row that failed.
+    /// When to read the complete list again, after a restore of the store from a copy.
+    recheck_at: Option<Instant>,
+    /// When the store recovered from the last outage.
+    recovered_at: Option<Instant>,
+    /// Consecutive failed reads.
     failures: u32,
-    pause: Pause,
+    backoff: Backoff,
     dependency: Dependency,
 }
 
-impl Following {
+impl TargetWatcher {
     fn new() -> Self {
-        Following {
+        TargetWatcher {
             needs_list: true,
-            check_at: None,
-            back_at: None,
+            recheck_at: None,
+            recovered_at: None,
             failures: 0,
-            pause: Pause::new(),
+            backoff: Backoff::new(),
             dependency: Dependency::new("targets"),
         }
     }
 
-    async fn read<S: Store>(&mut self, relay: &Relay, store: &S) -> Result<Taken, StoreError> {
+    async fn read<S: Store>(&mut self, relay: &Relay, store: &S) -> Result<Applied, StoreError> {
         self.failures += 1;
-        let began = relay.now();
-        let is_long_ago = |at: Instant| began.since(at) > LONGEST_GAP;
-        self.needs_list |= relay.targets_read.get().is_none_or(is_long_ago);
-        self.needs_list |= self.check_at.take_if(|at| *at <= began).is_some();
-        let may_lapse = self.may_lapse(relay, began);
+        let started_at = relay.now();
+        let is_outdated = |at: Instant| started_at.since(at) > MAX_INCREMENTAL_GAP;
+        self.needs_list |= relay.targets_read.get().is_none_or(is_outdated);
+        self.needs_list |= self.recheck_at.take_if(|at| *at <= started_at).is_some();
+        let may_be_lost = self.may_be_lost(relay, started_at);
         match self.needs_list {
-            true => list_targets(relay, store, began, may_lapse).await,
-            false => read_targets(relay, store, began, may_lapse).await,
+            true => list_targets(relay, store, started_at, may_be_lost).await,
+            false => read_targets(relay, store, started_at, may_be_lost).await,
         }
     }
 
-    /// Whether an entry that is gone may be so through the store's fault: it is away, or was until a moment ago.
-    fn may_lapse(&self, relay: &Relay, now: Instant) -> bool {
-        let is_back = |at: Instant| now.since(at) < LAPSE_WINDOW;
-        let has_returned = relay.eras.get().is_back_since(LAPSE_WINDOW, now);
-        self.dependency.is_lost() || self.back_at.is_some_and(is_back) || has_returned
+    /// Whether a missing entry may have been lost by the store, because of a current or recent outage.
+    fn may_be_lost(&self, relay: &Relay, now: Instant) -> bool {
+        let is_recent = |at: Instant| now.since(at) < RESTORE_WINDOW;
+        let was_restored = relay.eras.get().is_back_since(RESTORE_WINDOW, now);
+        self.dependency.is_lost() || self.recovered_at.is_some_and(is_recent) || was_restored
     }
 
-    fn judge(&mut self, relay: &Relay, read: Result<Taken, StoreError>) -> Next {
+    fn handle_read(&mut self, relay: &Relay, read: Result<Applied, StoreError>) -> NextRead {
         let now = relay.now();
         match read {
-            Ok(taken) => {
+            Ok(applied) => {
                 self.succeeded(now);
-                if taken != Taken::Copy {
-                    return Next::InTime;
+                if applied != Applied::Merged {
+                    return NextRead::AfterInterval;
                 }
-                self.check_at = Some(now + REWRITTEN_WITHIN);
-                Next::AtOnce
+                self.recheck_at = Some(now + REWRITTEN_WITHIN);
+                NextRead::Immediately
             }
-            // The shortest pause, as for the configuration.
+            // The backoff restarts at its initial delay, as in the configuration loop.
             Err(StoreError::EraChanged) => {
                 self.needs_list = true;
-                self.pause.reset();
-                Next::AfterPause
+                self.backoff.reset();
+                NextRead::AfterBackoff
             }
             Err(err) => {
                 self.dependency.lost(relay, &err);
                 if err == StoreError::Gone {
-                    self.pause.reset();
+                    self.backoff.reset();
                 }
                 self.needs_list |= err.needs_newest();
-                Next::AfterPause
+                NextRead::AfterBackoff
             }
         }
     }
 
     fn succeeded(&mut self, now: Instant) {
         if self.dependency.regained(now) {
-            self.back_at = Some(now);
+            self.recovered_at = Some(now);
         }
         self.failures = 0;
         self.needs_list = false;
-        self.pause.reset();
+        self.backoff.reset();
     }
 }
 
-/// What a read of the targets was good for.
+/// Which part of a read was applied.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Taken {
-    /// Its entries.
+enum Applied {
+    /// All entries.
     Entries,
-    /// Only what is not known better: the store came back from a copy that is older than what is held.
-    Copy,
-    /// Nothing, since later changes are known.
+    /// Only entries that are newer than the known ones, since the store was restored from an older copy.
+    Merged,
+    /// Nothing, since later changes are already known.
     Nothing,
 }
 
-/// Take over the store's list of targets by a read that began at `began`.
+/// Reads and applies the complete list of targets; the read starts at `started_at`.
 async fn list_targets<S: Store>(
     relay: &Relay,
     store: &S,
-    began: Instant,
-    may_lapse: bool,
-) -> Result<Taken, StoreError> {
+    started_at: Instant,
+    may_be_lost: bool,
+) -> Result<Applied, StoreError> {
     let feed = store.targets().await?;
-    let held = relay.targets_end.get();
-    let end = relay.position_after(&feed, began)?;
-    // Another box may have told of later changes while this read was under way.
-    if end < held {
-        return Ok(Taken::Nothing);
+    let known = relay.targets_end.get();
+    let end = relay.position_after(&feed, started_at)?;
+    // Another box may have sent later changes during this read.
+    if end < known {
+        return Ok(Applied::Nothing);
     }
     let mut entries = Vec::new();
-    let mut spoiled = Vec::new();
+    let mut malformed = Vec::new();
     for item in feed.items {
         match item {
             TargetChange::Wrote(entry) if relay.fleet.borrow().is_gone(&entry.run()) => {}
             TargetChange::Wrote(entry) => entries.push(entry),
             TargetChange::Spoiled(entry) => {
                 relay.remove_target(&entry.id);
-                spoiled.push(entry);
+                malformed.push(entry);
             }
-            TargetChange::Gone(id) => relay.target_gone(&id, may_lapse),
+            TargetChange::Gone(id) => relay.target_gone(&id, may_be_lost),
         }
     }
-    relay.log_malformed_entries(&spoiled);
-    let is_copy = held.era != end.era && held != Position::default();
-    match is_copy {
+    relay.log_malformed_entries(&malformed);
+    let is_restored = known.era != end.era && known != Position::default();
+    match is_restored {
         true => relay.merge_targets(entries),
-        false => relay.replace_targets(entries, may_lapse),
+        false => relay.replace_targets(entries, may_be_lost),
     }
-    relay.targets_are_of(began, end);
-    Ok(match is_copy {
-        true => Taken::Copy,
-        false => Taken::Entries,
+    relay.targets_are_of(started_at, end);
+    Ok(match is_restored {
+        true => Applied::Merged,
+        false => Applied::Entries,
     })
 }
 
-/// Take over the changes since the offset up to which the targets are known, by a read that began at
-/// `began`.
+/// Reads and applies the changes since the offset up to which the targets are known; the read starts at `started_at`.
 async fn read_targets<S: Store>(
     relay: &Relay,
     store: &S,
-    began: Instant,
-    may_lapse: bool,
-) -> Result<Taken, StoreError> {
+    started_at: Instant,
+    may_be_lost: bool,
+) -> Result<Applied, StoreError> {
     let from = relay.targets_end.get();
     let feed = store.targets_from(Offset(from.offset)).await?;
-    let end = relay.position_after(&feed, began)?;
+    let end = relay.position_after(&feed, started_at)?;
     if end.era != from.era {
         return Err(StoreError::EraChanged);
     }
     if end < relay.targets_end.get() {
-        return Ok(Taken::Nothing);
+        return Ok(Applied::Nothing);
     }
-    // Of what a target wrote and then dropped, or the other way round, the last counts.
-    let mut wrote = Vec::new();
-    let mut spoiled = Vec::new();
+    // Changes are applied in order: if a target was written and deleted, the later change counts.
+    let mut written = Vec::new();
+    let mut malformed = Vec::new();
     for change in feed.items {
         match change {
-            TargetChange::Wrote(entry) => wrote.push((entry, Evidence::Written)),
+            TargetChange::Wrote(entry) => written.push((entry, Evidence::Written)),
             TargetChange::Gone(id) => {
-                relay.update_targets(std::mem::take(&mut wrote));
-                relay.target_gone(&id, may_lapse);
+                relay.update_targets(std::mem::take(&mut written));
+                relay.target_gone(&id, may_be_lost);
             }
             TargetChange::Spoiled(entry) => {
-                relay.update_targets(std::mem::take(&mut wrote));
+                relay.update_targets(std::mem::take(&mut written));
                 relay.remove_target(&entry.id);
-                spoiled.push(entry);
+                malformed.push(entry);
             }
         }
     }
-    relay.update_targets(wrote);
-    relay.log_malformed_entries(&spoiled);
-    relay.targets_are_of(began, end);
-    Ok(Taken::Entries)
+    relay.update_targets(written);
+    relay.log_malformed_entries(&malformed);
+    relay.targets_are_of(started_at, end);
+    Ok(Applied::Entries)
 }
--- a/reachtally-relay/src/share/answer.rs
+++ b/reachtally-relay/src/share/answer.rs
@@ -1,4 +1,4 @@
-//! Answers to other boxes' questions.
+//! Answers to update requests of other boxes.
 
 use std::collections::HashMap;
 use std::rc::Rc;
@@ -16,82 +16,86 @@
 
 use crate::accept;
 use crate::relay::Relay;
-use crate::share::{ANSWER_WAIT, is_sound};
+use crate::share::{LONG_POLL_TIMEOUT, is_sound};
 
-/// A connection for questions is closed when nothing was asked for this long.
-const IDLE: Duration = Duration::from_secs(10);
-/// Time between two looks whether this box holds what others may be told.
-const SOUND_LOOK: Duration = Duration::from_millis(30);
+/// Time without a request after which a connection is closed.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(10);
+/// Interval at which a waiting request checks whether the state of this box is fresh enough to be sent.
+const FRESHNESS_POLL_INTERVAL: Duration = Duration::from_millis(30);
 
-/// Answer other boxes' questions until the process ends.
+/// Answers update requests of other boxes for the lifetime of the process.
 pub async fn serve(relay: Rc<Relay>, listener: TcpListener, run: Incarnation) {
     let serve = |stream, from| {
         let relay = relay.clone();
         async move {
-            if let Err(why) = answer_all(&relay, stream, run).await {
-                log::debug!(event = "peer-connection", from:% = from, why = &*why; "a box's connection ended");
+            if let Err(why) = serve_connection(&relay, stream, run).await {
+                log::debug!(event = "peer-connection", from:% = from, why = &*why; "connection of another box failed");
             }
         }
     };
     accept::each(listener, "boxes", serve).await;
 }
 
-async fn answer_all(relay: &Relay, stream: TcpStream, run: Incarnation) -> Result<(), String> {
+async fn serve_connection(
+    relay: &Relay,
+    stream: TcpStream,
+    run: Incarnation,
+) -> Result<(), String> {
     let mut link = Framed::new(stream, frames());
     loop {
-        let frame = timeout(IDLE, link.next())
+        let frame = timeout(IDLE_TIMEOUT, link.next())
             .await
             .map_err(|err| err.to_string())?;
         let Some(frame) = frame else {
             return Ok(());
         };
         let frame = frame.map_err(|err| err.to_string())?;
-        let ask = Ask::decode(&frame).map_err(|err| err.to_string())?;
-        let news = answer(relay, &ask, run).await;
-        link.send(news.encode())
+        let request = Ask::decode(&frame).map_err(|err| err.to_string())?;
+        let update = answer(relay, &request, run).await;
+        link.send(update.encode())
             .await
             .map_err(|err| err.to_string())?;
     }
 }
 
-/// Wait until there is something new that others may be told, but not longer than [`ANSWER_WAIT`]. A box
-/// that has just begun to read the store itself, since the reader before it failed, needs a moment.
-async fn answer(relay: &Relay, ask: &Ask, run: Incarnation) -> News {
-    let mut changed = relay.news();
-    let waiting = async {
+/// Waits at most [`LONG_POLL_TIMEOUT`] for an update that is fresh enough to be sent, and returns the current state. A box that
+/// has just taken over as store reader needs a moment until its state is fresh.
+async fn answer(relay: &Relay, request: &Ask, run: Incarnation) -> News {
+    let mut changes = relay.news();
+    let update = async {
         loop {
-            // Also a box that has just read its first configuration: without targets it would be no source.
+            // Covers also a box that has just read its first configuration but no targets yet, and so can't be a source.
             while relay.configuration.table().is_some() && !is_sound(relay) {
-                sleep(SOUND_LOOK).await;
+                sleep(FRESHNESS_POLL_INTERVAL).await;
             }
-            if is_news(relay, ask, run) || changed.changed().await.is_err() {
+            if has_update(relay, request, run) || changes.changed().await.is_err() {
                 return;
             }
         }
     };
-    // Running out of time is an answer as good as any: nothing is new.
-    let _ = timeout(ANSWER_WAIT, waiting).await;
-    news(relay, ask, run)
+    // On a timeout, the answer states that nothing changed.
+    let _ = timeout(LONG_POLL_TIMEOUT, update).await;
+    current_update(relay, request, run)
 }
 
-fn is_news(relay: &Relay, ask: &Ask, run: Incarnation) -> bool {
+fn has_update(relay: &Relay, request: &Ask, run: Incarnation) -> bool {
     let version = relay.configuration.version();
     let targets = Cursor {
         run: run.0,
         next: relay.changes.borrow().next(),
     };
-    let is_behind = relay.targets_end.get() < ask.targets_end;
-    version > ask.config_version
-        || (ask.targets != targets && !is_behind)
-        || relay.group_generation() > ask.group_generation
+    let is_behind = relay.targets_end.get() < request.targets_end;
+    version > request.config_version
+        || (request.targets != targets && !is_behind)
+        || relay.group_generation() > request.group_generation
 }
 
-fn news(relay: &Relay, ask: &Ask, run: Incarnation) -> News {
+fn current_update(relay: &Relay, request: &Ask, run: Incarnation) -> News {
     let version = relay.configuration.version();
-    let is_newer = version > ask.config_version;
+    let is_newer = version > request.config_version;
     let eras = relay.eras.get();
     let changes = relay.changes.borrow();
-    let mut news = News {
+    let mut update = News {
         confirmed_age: relay.configuration.age(relay.now()),
         targets_age: relay.targets_read.get().map(|at| relay.now().since(at)),
         config: if is_newer {
@@ -109,28 +113,28 @@
         ..News::default()
     };
     let generation = relay.group_generation();
-    if generation > ask.group_generation {
-        news.group_generation = generation;
-        news.members = relay.members.borrow().clone();
+    if generation > request.group_generation {
+        update.group_generation = generation;
+        update.members = relay.members.borrow().clone();
     }
     let mut pages = relay.pages.borrow_mut();
-    match pages.page(relay, &changes, ask.targets, run) {
-        Ok(page) => news.page = page,
+    match pages.page(relay, &changes, request.targets, run) {
+        Ok(page) => update.page = page,
         Err(err) => {
-            log::error!(event = "page-not-packed", why:% = err; "the targets can't be told; the asker stays where it is");
-            news.targets = ask.targets;
+            log::error!(event = "page-not-packed", why:% = err; "failed to compress the target changes; the requesting box keeps its position");
+            update.targets = request.targets;
         }
     }
-    news
+    update
 }
 
-/// Pages that were packed lately, by what the asker knows already. After a start, or a change that all hear of,
-/// a hundred boxes ask for the same.
+/// Cache of compressed pages, by the position of the requesting box. After a start, or a change that affects all boxes, a hundred
+/// boxes request the same page.
 #[derive(Debug, Default)]
 pub(crate) struct Pages {
-    /// Number of the next change when they were packed.
+    /// Number of the next change when the pages were built.
     next: u64,
-    /// By the change from which the asker is to be told.
+    /// Pages by the change at which they start.
     by_start: HashMap<Option<u64>, Bytes>,
 }
 
@@ -139,39 +143,39 @@
         &mut self,
         relay: &Relay,
         changes: &Changes,
-        held: Cursor,
+        known: Cursor,
         run: Incarnation,
     ) -> std::io::Result<Bytes> {
         if self.next != changes.next() {
             self.by_start.clear();
             self.next = changes.next();
         }
-        let start = changes.start(held, run.0);
+        let start = changes.start(known, run.0);
         if let Some(page) = self.by_start.get(&start) {
             return Ok(page.clone());
         }
-        let page = pack(relay, &changes.since(held, run.0))?;
+        let page = build_page(relay, &changes.since(known, run.0))?;
         self.by_start.insert(start, page.clone());
         Ok(page)
     }
 }
 
-/// What changed, packed.
-fn pack(relay: &Relay, since: &Since) -> std::io::Result<Bytes> {
+/// Builds the compressed page of the given changes.
+fn build_page(relay: &Relay, since: &Since) -> std::io::Result<Bytes> {
     let fleet = relay.fleet.borrow();
     let mut page = TargetPage::default();
     match since {
         Since::Whole => {
             page.is_whole = true;
             for (_, engine) in fleet.iter() {
-                show(&mut page, engine);
+                add_entry(&mut page, engine);
             }
         }
         Since::Changed(ids) if ids.is_empty() => return Ok(Bytes::new()),
         Since::Changed(ids) => {
             for id in ids {
                 match fleet.find(id).and_then(|key| fleet.get(key)) {
-                    Some(engine) => show(&mut page, engine),
+                    Some(engine) => add_entry(&mut page, engine),
                     None => page.gone.push(id.to_string()),
                 }
             }
@@ -180,7 +184,7 @@
     page.pack()
 }
 
-fn show(page: &mut TargetPage, engine: &Engine) {
+fn add_entry(page: &mut TargetPage, engine: &Engine) {
     page.wrote.push(engine.entry.clone());
     if engine.missing_since.is_some() {
         page.lapsed.push(engine.entry.id.to_string());
--- a/reachtally-relay/src/share/ask.rs
+++ b/reachtally-relay/src/share/ask.rs
@@ -1,4 +1,4 @@
-//! Questions to other boxes.
+//! Update requests to other boxes.
 
 use std::net::{IpAddr, SocketAddr};
 use std::rc::Rc;
@@ -15,121 +15,122 @@
 use tokio_util::codec::Framed;
 
 use crate::relay::Relay;
-use crate::share::{ANSWER_SLACK, ANSWER_WAIT, Link, is_sound};
+use crate::share::{ANSWER_TIMEOUT_MARGIN, LONG_POLL_TIMEOUT, Link, is_sound};
 use crate::target;
 
-/// How long after the start a source may know no configuration: boxes may start before the first one
-/// is published.
-const FIRST_CONFIGURATION: Duration = Duration::from_secs(4);
-/// The same for a seed while the group is not known: it may be cut off from the store.
-const FIRST_FROM_SEED: Duration = Duration::from_secs(2);
-/// How long a source that failed is left alone: longer than the group takes to notice that it is gone.
-const AVOID_SOURCE: Duration = Duration::from_secs(5);
-/// The same where a source may be of use again soon.
-const ASK_AGAIN: Duration = Duration::from_millis(500);
-/// The same while this box has just started: others start too, at different moments.
-const ASK_AGAIN_AT_START: Duration = Duration::from_millis(100);
-/// The same for one that knows nothing new, where this box does not read the store: as long as it takes to ask
-/// half a dozen others.
-const STALE_AGAIN: Duration = Duration::from_secs(2);
-/// Time between two looks for a source while there is none.
-const NOWHERE_INTERVAL: Duration = Duration::from_millis(100);
-/// Least time between two questions, so that a box is not told each of a storm of configurations.
-const ASK_INTERVAL: Duration = Duration::from_millis(60);
-/// Time between two looks while this box reads the store itself.
-const LOOK_INTERVAL: Duration = Duration::from_millis(250);
-/// Longest wait at the start for the group of boxes, which tells whom to ask. It is known after one call
-/// to the store, or not at all while the store is away.
-const GROUP_WAIT: Duration = Duration::from_millis(600);
-/// Time between two looks meanwhile: a call to the store takes a few ms.
-const GROUP_LOOK: Duration = Duration::from_millis(25);
-/// Time at the start in which some seed must accept a connection. Seeds may start at the same time as this box, or be gone.
-const SEED_WAIT: Duration = Duration::from_millis(120);
-/// Time between two attempts to connect to a seed meanwhile.
-const SEED_AGAIN: Duration = Duration::from_millis(20);
-/// Time for which a box reads the store itself whose seeds did not accept a connection: for one read of each kind.
-const FIRST_READS: Duration = Duration::from_millis(60);
+/// Time after the start during which a source may lack a configuration, since boxes may start before the first one is published.
+const FIRST_CONFIGURATION_TIMEOUT: Duration = Duration::from_secs(4);
+/// The same for a seed while the group is unknown. It is shorter, since the seed may be cut off from the store.
+const SEED_CONFIGURATION_TIMEOUT: Duration = Duration::from_secs(2);
+/// Cooldown of a failed source; longer than the group needs to detect that a box is gone.
+const SOURCE_COOLDOWN: Duration = Duration::from_secs(5);
+/// Cooldown of a source during an outage of the store, when it may become usable again soon.
+const OUTAGE_COOLDOWN: Duration = Duration::from_millis(500);
+/// Cooldown of a source shortly after the start of this box, when other boxes may be starting too.
+const STARTUP_COOLDOWN: Duration = Duration::from_millis(100);
+/// Cooldown of a stale source while this box does not read the store: the time it takes to try half a dozen other sources.
+const STALE_COOLDOWN: Duration = Duration::from_secs(2);
+/// Interval at which a source is searched for while there is none.
+const NO_SOURCE_INTERVAL: Duration = Duration::from_millis(100);
+/// Minimum interval between two requests, so that a burst of configurations is not transferred one by one.
+const REQUEST_INTERVAL: Duration = Duration::from_millis(60);
+/// Interval at which a source is searched for while this box reads the store itself.
+const DIRECT_INTERVAL: Duration = Duration::from_millis(250);
+/// Maximum time at the start to wait for the group membership, which lists the possible sources. It is known after one call to the
+/// store, or not at all during an outage of the store.
+const GROUP_TIMEOUT: Duration = Duration::from_millis(600);
+/// Interval at which the group membership is checked meanwhile. A call to the store takes a few milliseconds.
+const GROUP_POLL_INTERVAL: Duration = Duration::from_millis(25);
+/// Time at the start within which a seed must accept a connection. Seeds may be starting at the same time, or be gone.
+const SEED_TIMEOUT: Duration = Duration::from_millis(120);
+/// Interval between connection attempts to a seed meanwhile.
+const SEED_RETRY_INTERVAL: Duration = Duration::from_millis(20);
+/// Time for which a box reads the store itself if no seed accepted a connection. It suffices for one read of each kind.
+const FIRST_READS_TIME: Duration = Duration::from_millis(60);
 
-/// A box that is asked.
+/// A box from which updates are requested.
 struct Source {
     ip: IpAddr,
     link: Link,
     targets: Cursor,
 }
 
-/// Why a box is no source.
-enum AskError {
-    /// It did not answer.
+/// Why a box can't be used as a source.
+enum SourceError {
+    /// The box did not answer, or its answer was invalid.
     Silent(String),
-    /// It answered, but knows nothing new enough.
+    /// The box answered, but its state is not fresh enough.
     Stale(String),
 }
 
-impl std::fmt::Display for AskError {
+impl std::fmt::Display for SourceError {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         match self {
-            AskError::Silent(why) | AskError::Stale(why) => f.write_str(why),
+            SourceError::Silent(why) | SourceError::Stale(why) => f.write_str(why),
         }
     }
 }
 
-/// A box that was asked in vain.
-struct Avoided {
+/// A failed source that is not used for a time.
+struct Cooldown {
     ip: IpAddr,
     is_stale: bool,
     until: Instant,
 }
 
-/// Ask other boxes, or let this one read the store itself, until the process ends.
+/// Requests updates from other boxes, or lets this box read the store itself, for the lifetime of the process.
 pub async fn ask(relay: Rc<Relay>, port: u16, run: Incarnation) {
-    let mut avoid: Vec<Avoided> = Vec::new();
-    let mut is_lost = false;
+    let mut cooldowns: Vec<Cooldown> = Vec::new();
+    let mut is_repeated = false;
     wait_for_group(&relay).await;
     let mut source = first_seed(&relay, port).await;
     let first_seed = source.as_ref().map(|source| source.ip);
     loop {
-        drop_expired(&relay, &mut avoid);
-        let ip = match origin(&relay, run, &avoid, first_seed) {
+        drop_expired(&relay, &mut cooldowns);
+        let ip = match origin(&relay, run, &cooldowns, first_seed) {
             Origin::Box(ip) => ip,
             Origin::Store => {
                 relay.set_direct(true);
                 source = None;
-                sleep(LOOK_INTERVAL).await;
+                sleep(DIRECT_INTERVAL).await;
                 continue;
             }
             Origin::Nowhere => {
                 relay.set_direct(false);
-                sleep(NOWHERE_INTERVAL).await;
+                sleep(NO_SOURCE_INTERVAL).await;
                 continue;
             }
         };
-        let kept = source.take().filter(|source| source.ip == ip);
-        match ask_once(&relay, kept, SocketAddr::new(ip, port)).await {
+        let reused = source.take().filter(|source| source.ip == ip);
+        match poll_source(&relay, reused, SocketAddr::new(ip, port)).await {
             Ok(answered) => {
                 relay.set_direct(false);
                 source = Some(answered);
-                is_lost = false;
-                sleep(ASK_INTERVAL).await;
+                is_repeated = false;
+                sleep(REQUEST_INTERVAL).await;
             }
             Err(why) => {
-                note_lost(ip, &why, is_lost);
-                is_lost = true;
-                avoid.push(avoided(&relay, ip, &why));
+                log_lost(ip, &why, is_repeated);
+                is_repeated = true;
+                cooldowns.push(cooldown(&relay, ip, &why));
             }
         }
     }
 }
 
-/// Wait for the group, unless there are others to ask.
+/// Waits for the group membership unless seeds are configured.
 async fn wait_for_group(relay: &Relay) {
-    let began = relay.now();
+    let started_at = relay.now();
     let is_alone = relay.settings.borrow().seeds.is_empty();
-    while is_alone && relay.members.borrow().is_empty() && relay.now().since(began) < GROUP_WAIT {
-        sleep(GROUP_LOOK).await;
+    while is_alone
+        && relay.members.borrow().is_empty()
+        && relay.now().since(started_at) < GROUP_TIMEOUT
+    {
+        sleep(GROUP_POLL_INTERVAL).await;
     }
 }
 
-/// The first seed that accepts a connection of a box that has just started. Where none does, the box reads the store once.
+/// Connects a box that has just started to the first seed that accepts. If none does, the box reads the store once.
 async fn first_seed(relay: &Relay, port: u16) -> Option<Source> {
     let (ip, seeds) = {
         let settings = relay.settings.borrow();
@@ -140,72 +141,73 @@
     }
     let accepting = seeds
         .into_iter()
-        .map(|seed| Box::pin(accepting(SocketAddr::new(seed, port))));
-    match timeout(SEED_WAIT, futures::future::select_all(accepting)).await {
+        .map(|seed| Box::pin(wait_for_connection(SocketAddr::new(seed, port))));
+    match timeout(SEED_TIMEOUT, futures::future::select_all(accepting)).await {
         Ok((first, ..)) => Some(first),
         Err(_) => {
             relay.set_direct(true);
-            sleep(FIRST_READS).await;
+            sleep(FIRST_READS_TIME).await;
             None
         }
     }
 }
 
-/// Waits until a box accepts a connection.
-async fn accepting(address: SocketAddr) -> Source {
+/// Retries until a box accepts a connection.
+async fn wait_for_connection(address: SocketAddr) -> Source {
     loop {
         match open(address).await {
             Ok(source) => return source,
-            Err(_) => sleep(SEED_AGAIN).await,
+            Err(_) => sleep(SEED_RETRY_INTERVAL).await,
         }
     }
 }
 
-/// Forget failures that are long enough ago.
-fn drop_expired(relay: &Relay, avoid: &mut Vec<Avoided>) {
+/// Removes expired cooldowns.
+fn drop_expired(relay: &Relay, cooldowns: &mut Vec<Cooldown>) {
     let now = relay.now();
-    avoid.retain(|avoided| now < avoided.until);
+    cooldowns.retain(|cooldown| now < cooldown.until);
 }
 
-/// A box that was asked in vain, and how long it is left alone. One that is stale is the first to know of the
-/// store's return, and asking it costs no call; while this box is young, others start too.
-fn avoided(relay: &Relay, ip: IpAddr, why: &AskError) -> Avoided {
-    let is_stale = matches!(why, AskError::Stale(_));
-    let avoid_for = if is_young(relay) {
-        ASK_AGAIN_AT_START
+/// Returns the cooldown of a failed source. It is short during an outage of the store and while this box is young: a stale source
+/// is the first to notice the recovery of the store and requests to it cost no store call, and other boxes may be starting too.
+fn cooldown(relay: &Relay, ip: IpAddr, why: &SourceError) -> Cooldown {
+    let is_stale = matches!(why, SourceError::Stale(_));
+    let duration = if is_young(relay) {
+        STARTUP_COOLDOWN
     } else if relay.store_away.get() {
-        ASK_AGAIN
+        OUTAGE_COOLDOWN
     } else if is_stale && !relay.is_direct() {
-        STALE_AGAIN
+        STALE_COOLDOWN
     } else {
-        AVOID_SOURCE
+        SOURCE_COOLDOWN
     };
-    Avoided {
+    Cooldown {
         ip,
         is_stale,
-        until: relay.now() + avoid_for,
+        until: relay.now() + duration,
     }
 }
 
 fn is_young(relay: &Relay) -> bool {
-    relay.now().elapsed() < FIRST_FROM_SEED
+    relay.now().elapsed() < SEED_CONFIGURATION_TIMEOUT
 }
 
-/// Where to look next, `first_seed` before other seeds; also notes whether this box is the first reader.
+/// Returns where to get updates from, with `first_seed` preferred to other seeds. Also records whether this box is the first
+/// store reader of its failure domain.
 fn origin(
     relay: &Relay,
     run: Incarnation,
-    avoid: &[Avoided],
+    cooldowns: &[Cooldown],
     first_seed: Option<IpAddr>,
 ) -> Origin {
     let settings = relay.settings.borrow();
     let mut seeds = settings.seeds.clone();
     seeds.sort_by_key(|seed| Some(*seed) != first_seed);
     let members = relay.members.borrow();
-    let (stale, silent): (Vec<&Avoided>, Vec<&Avoided>) =
-        avoid.iter().partition(|avoided| avoided.is_stale);
-    let ips = |avoided: Vec<&Avoided>| -> Vec<IpAddr> {
-        avoided.into_iter().map(|avoided| avoided.ip).collect()
+    let (stale, silent): (Vec<&Cooldown>, Vec<&Cooldown>) =
+        cooldowns.iter().partition(|cooldown| cooldown.is_stale);
+    let ips = |cooldowns: Vec<&Cooldown>| -> Vec<IpAddr> {
+        cooldowns.into_iter().map(|cooldown| cooldown.ip).collect()
     };
     let (stale, silent) = (ips(stale), ips(silent));
     let view = View {
@@ -223,116 +225,120 @@
     view.origin()
 }
 
-/// The first failure of several in a row is logged as a change of state.
-fn note_lost(from: IpAddr, why: &AskError, is_lost: bool) {
-    match is_lost {
+/// Logs the loss of a source; repeated failures are logged at debug level.
+fn log_lost(from: IpAddr, why: &SourceError, is_repeated: bool) {
+    match is_repeated {
         true => {
-            log::debug!(event = "source-lost", from:% = from, why:% = why; "another box is no source either")
+            log::debug!(event = "source-lost", from:% = from, why:% = why; "another source failed too")
         }
         false => {
-            log::info!(event = "source-lost", from:% = from, why:% = why; "a box is no source any more")
+            log::info!(event = "source-lost", from:% = from, why:% = why; "source lost; trying another one")
         }
     }
 }
 
-/// Ask a box once, over the connection `kept` or a new one, and take in what it tells.
-async fn ask_once(
+/// Requests an update from a box, over the connection `reused` or a new one, and applies it.
+async fn poll_source(
     relay: &Relay,
-    kept: Option<Source>,
+    reused: Option<Source>,
     address: SocketAddr,
-) -> Result<Source, AskError> {
-    let mut source = match kept {
+) -> Result<Source, SourceError> {
+    let mut source = match reused {
         Some(source) => source,
-        None => open(address).await.map_err(AskError::Silent)?,
+        None => open(address).await.map_err(SourceError::Silent)?,
     };
-    let began = relay.now();
-    let answering = timeout(ANSWER_WAIT + ANSWER_SLACK, exchange(relay, &mut source));
-    let answered = answering.await;
-    let answered = answered.unwrap_or_else(|_| Err("no answer in time".to_owned()));
-    let news = answered.map_err(AskError::Silent)?;
-    take_whatever_its_age(relay, &news).map_err(AskError::Silent)?;
-    match ages(relay, &news, began)? {
+    let started_at = relay.now();
+    let response = timeout(
+        LONG_POLL_TIMEOUT + ANSWER_TIMEOUT_MARGIN,
+        request_update(relay, &mut source),
+    );
+    let answered = response.await;
+    let answered = answered.unwrap_or_else(|_| Err("request timed out".to_owned()));
+    let update = answered.map_err(SourceError::Silent)?;
+    apply_ageless(relay, &update).map_err(SourceError::Silent)?;
+    match ages(relay, &update, started_at)? {
         None => {
-            take(relay, &mut source, news).map_err(AskError::Silent)?;
+            apply(relay, &mut source, update).map_err(SourceError::Silent)?;
         }
         Some(ages) => {
-            let end = news.targets_end;
-            if take(relay, &mut source, news).map_err(AskError::Silent)? {
-                relay.targets_are_of(before(began, ages.targets), end);
+            let end = update.targets_end;
+            if apply(relay, &mut source, update).map_err(SourceError::Silent)? {
+                relay.targets_are_of(before(started_at, ages.targets), end);
             }
-            let confirmed = before(began, ages.configuration);
+            let confirmed = before(started_at, ages.configuration);
             relay.configuration.confirm(confirmed);
         }
     }
     Ok(source)
 }
 
-/// The moment `age` before `began`, but not before this box started.
-fn before(began: Instant, age: Duration) -> Instant {
-    Instant::from_elapsed(began.elapsed().saturating_sub(age))
+/// Returns the moment `age` before `started_at`, but not before the start of this box.
+fn before(started_at: Instant, age: Duration) -> Instant {
+    Instant::from_elapsed(started_at.elapsed().saturating_sub(age))
 }
 
-/// Send a question and read the answer.
-async fn exchange(relay: &Relay, source: &mut Source) -> Result<News, String> {
-    let ask = Ask {
+/// Sends a request and reads the answer.
+async fn request_update(relay: &Relay, source: &mut Source) -> Result<News, String> {
+    let request = Ask {
         config_version: relay.configuration.version(),
         targets: source.targets,
         targets_end: relay.targets_end.get(),
         group_generation: relay.group_generation(),
     };
-    let sent = source.link.send(ask.encode()).await;
+    let sent = source.link.send(request.encode()).await;
     sent.map_err(|err| err.to_string())?;
     match source.link.next().await {
         Some(Ok(frame)) => News::decode(frame.freeze()).map_err(|err| err.to_string()),
         Some(Err(err)) => Err(err.to_string()),
-        None => Err("the connection was closed".to_owned()),
+        None => Err("connection closed without an answer".to_owned()),
     }
 }
 
-/// Take in what counts however old the rest is: the store's era, and a configuration that is newer than the one held.
-fn take_whatever_its_age(relay: &Relay, news: &News) -> Result<(), String> {
-    if let Some(era) = news.era {
-        relay.hear_era(era, news.era_age);
+/// Applies the parts of an update that are valid at any age: the store epoch, and a configuration newer than the held one.
+fn apply_ageless(relay: &Relay, update: &News) -> Result<(), String> {
+    if let Some(era) = update.era {
+        relay.hear_era(era, update.era_age);
     }
-    if !news.config.is_empty() {
-        relay.publish_packed(&news.config)?;
+    if !update.config.is_empty() {
+        relay.publish_packed(&update.config)?;
     }
     Ok(())
 }
 
-/// How old what a box tells was when it was asked.
+/// Ages of the state of a source when the request was sent.
 struct Ages {
-    /// The confirmation of its configuration.
+    /// Age of the confirmation of its configuration.
     configuration: Duration,
-    /// The read of its targets.
+    /// Age of the read of its targets.
     targets: Duration,
 }
 
-/// How old it is; `None` while the first configuration may still be to come.
-fn ages(relay: &Relay, news: &News, asked: Instant) -> Result<Option<Ages>, AskError> {
-    let Some(configuration) = news.confirmed_age else {
+/// Checks the freshness of an update. Returns `None` if the source has no configuration while the first one may still be
+/// published.
+fn ages(relay: &Relay, update: &News, requested_at: Instant) -> Result<Option<Ages>, SourceError> {
+    let Some(configuration) = update.confirmed_age else {
         let patience = match relay.members.borrow().is_empty() {
-            true => FIRST_FROM_SEED,
-            false => FIRST_CONFIGURATION,
+            true => SEED_CONFIGURATION_TIMEOUT,
+            false => FIRST_CONFIGURATION_TIMEOUT,
         };
-        if asked.elapsed() > patience {
-            let why = "it knows no configuration".to_owned();
-            return Err(AskError::Stale(why));
+        if requested_at.elapsed() > patience {
+            let why = "source has no configuration".to_owned();
+            return Err(SourceError::Stale(why));
         }
         return Ok(None);
     };
     let rhythm = relay.rhythm();
     if configuration > rhythm.sound_age {
         let ms = configuration.as_millis();
-        let why = format!("its configuration was confirmed {ms} ms ago");
-        return Err(AskError::Stale(why));
+        let why = format!("configuration was last confirmed {ms} ms ago");
+        return Err(SourceError::Stale(why));
     }
-    let no_targets = || AskError::Stale("it has read no targets".to_owned());
-    let targets = news.targets_age.ok_or_else(no_targets)?;
+    let no_targets = || SourceError::Stale("source has read no targets".to_owned());
+    let targets = update.targets_age.ok_or_else(no_targets)?;
     if targets > rhythm.sound_targets_age {
         let ms = targets.as_millis();
-        let why = format!("its targets were read {ms} ms ago");
-        return Err(AskError::Stale(why));
+        let why = format!("targets were last read {ms} ms ago");
+        return Err(SourceError::Stale(why));
     }
     Ok(Some(Ages {
         configuration,
@@ -340,16 +346,16 @@
     }))
 }
 
-/// Take in what a box told; yields whether its targets were taken. Those of a box that knows the store's
-/// list only up to an earlier offset are not: they would bring back targets that have left.
-fn take(relay: &Relay, source: &mut Source, news: News) -> Result<bool, String> {
-    relay.set_members(news.members, news.group_generation);
-    if news.targets_end < relay.targets_end.get() {
-        log::debug!(event = "source-behind", from:% = source.ip, end:? = news.targets_end, held:? = relay.targets_end.get(); "a box's targets are older than those held");
+/// Applies an update; returns whether its targets were applied. Targets as of an earlier store position than the held ones are
+/// ignored, since they would restore targets that have left.
+fn apply(relay: &Relay, source: &mut Source, update: News) -> Result<bool, String> {
+    relay.set_members(update.members, update.group_generation);
+    if update.targets_end < relay.targets_end.get() {
+        log::debug!(event = "source-behind", from:% = source.ip, end:? = update.targets_end, held:? = relay.targets_end.get(); "ignored the targets of a source: older than the held ones");
         return Ok(false);
     }
-    let page = TargetPage::unpack(&news.page).map_err(|err| err.to_string())?;
-    source.targets = news.targets;
+    let page = TargetPage::unpack(&update.page).map_err(|err| err.to_string())?;
+    source.targets = update.targets;
     if page.is_whole {
         relay.replace_targets(page.wrote, false);
     } else {
@@ -373,8 +379,8 @@
 }
 
 async fn open(address: SocketAddr) -> Result<Source, String> {
-    let dialled = target::dial(address, ANSWER_SLACK).await;
-    let stream = dialled.map_err(|err| err.to_string())?;
+    let connected = target::dial(address, ANSWER_TIMEOUT_MARGIN).await;
+    let stream = connected.map_err(|err| err.to_string())?;
     target::send_at_once(&stream);
     Ok(Source {
         ip: address.ip(),
--- a/reachtally-relay/src/share/mod.rs
+++ b/reachtally-relay/src/share/mod.rs
@@ -1,12 +1,12 @@
-//! The configuration, the targets and the group from other boxes.
+//! Distribution of the configuration, the targets and the group membership between boxes.
 //!
-//! The first few boxes of each failure domain stand by as readers: the first of them that works reads
-//! the store, and the others ask it. Calls to the store then grow with the failure domains and not with
-//! the boxes, and a box that the store turns away goes on with what a box that reaches it tells. Only
-//! where no reader works does a box read the store itself.
+//! The first few boxes of each failure domain are candidates for its store reader: the first working
+//! one reads the store, and the other boxes long-poll it. The number of store calls then grows with the
+//! number of failure domains rather than boxes, and a box that can't reach the store continues with
+//! updates from a box that can. A box reads the store itself only if no store reader works.
 //!
-//! How old a confirmation is counts from when the question was *sent*, less the age that the answer
-//! tells; so neither a slow answer nor a pause of this process makes it look newer than it is.
+//! The age of a confirmation is the time since the request was *sent* plus the age that the answer
+//! states, so neither a slow answer nor a pause of this process makes it appear newer than it is.
 
 mod answer;
 mod ask;
@@ -23,23 +23,23 @@
 pub use answer::serve;
 pub use ask::ask;
 
-/// How long a question waits for something new.
-const ANSWER_WAIT: Duration = Duration::from_millis(350);
-/// Time for an answer beside that wait; boxes are a millisecond apart.
-const ANSWER_SLACK: Duration = Duration::from_millis(200);
-/// A connection for questions.
+/// Time for which a request waits for an update.
+const LONG_POLL_TIMEOUT: Duration = Duration::from_millis(350);
+/// Time allowed for an answer in addition to that wait. The latency between boxes is about a millisecond.
+const ANSWER_TIMEOUT_MARGIN: Duration = Duration::from_millis(200);
+/// A connection for update requests.
 type Link = Framed<TcpStream, LengthDelimitedCodec>;
 
-/// Whether something that was read at `read` is at most `bound` old.
-fn is_within(read: Option<Instant>, now: Instant, bound: Duration) -> bool {
+/// Whether a read at `read` is at most `bound` old.
+fn is_at_most(read: Option<Instant>, now: Instant, bound: Duration) -> bool {
     read.is_some_and(|at| now.since(at) <= bound)
 }
 
-/// Whether what this box holds is new enough for others.
+/// Whether the state of this box is fresh enough to be sent to other boxes.
 fn is_sound(relay: &Relay) -> bool {
     let now = relay.now();
     let rhythm = relay.rhythm();
     let age = relay.configuration.age(now);
     age.is_some_and(|age| age <= rhythm.sound_age)
-        && is_within(relay.targets_read.get(), now, rhythm.sound_targets_age)
+        && is_at_most(relay.targets_read.get(), now, rhythm.sound_targets_age)
 }
--- a/reachtally-relay/src/targets/entries.rs
+++ b/reachtally-relay/src/targets/entries.rs
@@ -80,9 +80,9 @@
     }
 
     /// Removes a target whose entry was deleted, or only marks it as missing if the store may have lost the entry in an outage.
-    pub fn target_gone(&self, id: &str, may_lapse: bool) {
-        log::info!(event = "target-gone", target = id, may_lapse = may_lapse; "target entry was deleted");
-        match may_lapse {
+    pub fn target_gone(&self, id: &str, may_be_lost: bool) {
+        log::info!(event = "target-gone", target = id, may_lapse = may_be_lost; "target entry was deleted");
+        match may_be_lost {
             true => self.mark_missing(id),
             false => self.remove_target(id),
         }
@@ -105,13 +105,13 @@
     }
 
     /// Replaces the targets with a complete list.
-    pub fn replace_targets(&self, entries: Vec<Entry>, may_lapse: bool) {
+    pub fn replace_targets(&self, entries: Vec<Entry>, may_be_lost: bool) {
         let known = self.fleet.borrow().ids();
         let listed: HashSet<Arc<str>> = entries.iter().map(|entry| entry.id.clone()).collect();
         let observations = entries.into_iter().map(|entry| (entry, Evidence::Listed));
         self.update_targets(observations.collect());
         for id in known.iter().filter(|id| !listed.contains(*id)) {
-            self.target_gone(id, may_lapse);
+            self.target_gone(id, may_be_lost);
         }
     }
 
