--- a/reachtally-relay/src/stream/ahead.rs
+++ b/reachtally-relay/src/stream/ahead.rs
@@ -1,6 +1,7 @@
-//! Events read ahead of a caller: the queue between the task that follows the engines and the body of the answer.
+//! Buffering of events that are read ahead of a caller: the queue between the task that reads from the engines and the body of the
+//! answer.
 //!
-//! Bytes count as held until the connection has handed them to the system, also where the HTTP library buffers them.
+//! Bytes count as held until the connection has passed them to the operating system, including those buffered by the HTTP library.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -12,30 +13,30 @@
 
 use crate::relay::Relay;
 
-/// What is held for all streams of the box.
+/// Bytes held for all streams of the box.
 #[derive(Debug, Default)]
 pub(crate) struct Pool {
     held: AtomicUsize,
-    /// Wakes streams that wait for the others to hold less.
-    room: Notify,
+    /// Wakes a stream that waits for other streams to release bytes.
+    released: Notify,
 }
 
 impl Pool {
-    /// Bytes that callers have not taken yet.
+    /// Returns the number of bytes that callers have not consumed yet.
     pub fn held(&self) -> usize {
         self.held.load(Ordering::Relaxed)
     }
 }
 
-/// What is held for one stream.
+/// Bytes held for one stream.
 #[derive(Debug)]
-struct Account {
+struct Usage {
     pool: Arc<Pool>,
     held: AtomicUsize,
-    taken: Notify,
+    consumed: Notify,
 }
 
-impl Account {
+impl Usage {
     fn held(&self) -> Held {
         Held {
             stream: self.held.load(Ordering::Relaxed),
@@ -51,125 +52,126 @@
     fn remove(&self, count: usize) {
         self.held.fetch_sub(count, Ordering::Relaxed);
         self.pool.held.fetch_sub(count, Ordering::Relaxed);
-        self.taken.notify_waiters();
-        // One for each piece: to wake all of them would cost each event as much as there are slow callers.
-        self.pool.room.notify_one();
+        self.consumed.notify_waiters();
+        // Wakes one stream per released buffer. Waking all of them would make the cost of each event grow with the number of slow
+        // callers.
+        self.pool.released.notify_one();
     }
 }
 
-/// Events that count as held until they are dropped. The HTTP library moves buffers as `Send` values, so the counts are
-/// atomic though one thread has them all.
-struct Piece {
+/// Events that count as held until they are dropped. The counters are atomic because the HTTP library requires `Send` buffers,
+/// though a single thread uses them.
+struct HeldEvents {
     events: Bytes,
-    account: Arc<Account>,
+    usage: Arc<Usage>,
 }
 
-impl AsRef<[u8]> for Piece {
+impl AsRef<[u8]> for HeldEvents {
     fn as_ref(&self) -> &[u8] {
         &self.events
     }
 }
 
-impl Drop for Piece {
+impl Drop for HeldEvents {
     fn drop(&mut self) {
-        self.account.remove(self.events.len());
+        self.usage.remove(self.events.len());
     }
 }
 
-/// What the body of an answer gets.
+/// An item of the queue to the body of an answer.
 pub(super) enum Item {
-    /// Whole events.
+    /// Complete events.
     Events(Bytes),
-    /// All events have come. A queue that ends without it is a stream that is cut.
-    Whole,
+    /// The end of a complete stream. If the queue closes without it, the stream is cut off.
+    Complete,
 }
 
-/// Whether a stream may be read on.
-pub(super) enum Room {
-    /// At once.
-    Now,
-    /// After a pause that began then.
-    Since(Instant),
-    /// The final answer was due before.
-    Late,
+/// Whether more of a stream may be read.
+pub(super) enum Readiness {
+    /// Immediately.
+    Ready,
+    /// After a pause that started at this time.
+    AfterPause(Instant),
+    /// Not before the deadline of the request.
+    DeadlineExceeded,
 }
 
-/// The end of the queue at the engines' side.
-pub(super) struct Ahead {
-    account: Arc<Account>,
+/// The sending half of the queue.
+pub(super) struct EventQueue {
+    usage: Arc<Usage>,
     queue: mpsc::UnboundedSender<Item>,
 }
 
-/// A queue for one stream.
-pub(super) fn queue(relay: &Relay) -> (Ahead, mpsc::UnboundedReceiver<Item>) {
-    let (tx, rx) = mpsc::unbounded_channel();
-    let account = Account {
+/// Creates the queue of one stream.
+pub(super) fn queue(relay: &Relay) -> (EventQueue, mpsc::UnboundedReceiver<Item>) {
+    let (sender, receiver) = mpsc::unbounded_channel();
+    let usage = Usage {
         pool: relay.read_ahead.clone(),
         held: AtomicUsize::default(),
-        taken: Notify::new(),
+        consumed: Notify::new(),
     };
-    let ahead = Ahead {
-        account: Arc::new(account),
-        queue: tx,
+    let queue = EventQueue {
+        usage: Arc::new(usage),
+        queue: sender,
     };
-    (ahead, rx)
+    (queue, receiver)
 }
 
-impl Ahead {
-    /// Add events.
+impl EventQueue {
+    /// Appends complete events.
     pub fn push(&self, events: Bytes) {
-        self.account.add(events.len());
-        let piece = Piece {
+        self.usage.add(events.len());
+        let held_events = HeldEvents {
             events,
-            account: self.account.clone(),
+            usage: self.usage.clone(),
         };
-        self.send(Item::Events(Bytes::from_owner(piece)));
+        self.send(Item::Events(Bytes::from_owner(held_events)));
     }
 
-    /// The stream is whole.
-    pub fn end(&self) {
-        self.send(Item::Whole);
+    /// Marks the stream as complete.
+    pub fn complete(&self) {
+        self.send(Item::Complete);
     }
 
     fn send(&self, item: Item) {
-        // Where the body is gone, so is the caller, and this side is about to be aborted.
+        // If the body was dropped, the caller is gone and this task is about to be aborted.
         let _ = self.queue.send(item);
     }
 
-    /// Wait until more may be read, at most until `due`.
-    pub async fn room(&self, relay: &Relay, due: Instant) -> Room {
-        let mut since = None;
+    /// Waits until more may be read, at most until `due`.
+    pub async fn wait_for_capacity(&self, relay: &Relay, due: Instant) -> Readiness {
+        let mut paused_at = None;
         loop {
-            let taken = self.account.taken.notified();
-            let room = self.account.pool.room.notified();
-            let most = read_ahead::all_bytes(relay.settings.borrow().memory);
-            let held = self.account.held();
-            if read_ahead::may_read(held, most) {
-                let Some(since) = since else {
-                    return Room::Now;
+            let consumed = self.usage.consumed.notified();
+            let released = self.usage.pool.released.notified();
+            let max = read_ahead::all_bytes(relay.settings.borrow().memory);
+            let held = self.usage.held();
+            if read_ahead::may_read(held, max) {
+                let Some(paused_at) = paused_at else {
+                    return Readiness::Ready;
                 };
-                // There may be room for another stream, too.
-                self.account.pool.room.notify_one();
-                return Room::Since(since);
+                // Passes the wake-up on, since there may be capacity for another stream too.
+                self.usage.pool.released.notify_one();
+                return Readiness::AfterPause(paused_at);
             }
-            since.get_or_insert(relay.now());
+            paused_at.get_or_insert(relay.now());
             let woken = async {
                 tokio::select! {
-                    () = taken => {}
-                    () = room, if held.stream < read_ahead::STREAM_BYTES => {}
+                    () = consumed => {}
+                    () = released, if held.stream < read_ahead::STREAM_BYTES => {}
                 }
             };
             if relay.until_due(due, woken).await.is_none() {
-                return Room::Late;
+                return Readiness::DeadlineExceeded;
             }
         }
     }
 
-    /// Wait until the caller takes something, unless it has taken everything.
-    pub async fn until_taken(&self) {
-        let taken = self.account.taken.notified();
-        if self.account.held().stream > 0 {
-            taken.await;
+    /// Waits until the caller consumes something, unless it has consumed everything.
+    pub async fn wait_until_consumed(&self) {
+        let consumed = self.usage.consumed.notified();
+        if self.usage.held().stream > 0 {
+            consumed.await;
         }
     }
 }
--- a/reachtally-relay/src/stream/chain.rs
+++ b/reachtally-relay/src/stream/chain.rs
@@ -1,4 +1,4 @@
-//! Following the events of one chain.
+//! Reading the events of one chain of engines.
 
 use std::time::Duration;
 
@@ -22,93 +22,96 @@
 use crate::stream::send;
 use crate::target::Connection;
 
-/// Added to the first look at a chain, which may still have other prompts to read.
-pub(super) const FIRST_SLACK: Duration = Duration::from_millis(350);
-/// Gaps between events, in expected ones, from which the engines of a stream are suspected to be slow.
-const SLOW_GAPS: f64 = 2.0;
-/// Least gap that counts: shorter ones are in time for every route, and come at load.
-const LEAST_SLOW: Duration = Duration::from_millis(150);
-/// Of this many successes in time, one is logged: by id, so that all boxes log the same ones.
-const SUCCESSES_LOGGED: u64 = 16;
+/// Added to the time after which a chain is first checked, since it may still process other prompts.
+pub(super) const FIRST_EVENT_MARGIN: Duration = Duration::from_millis(350);
+/// Gap between events, as a multiple of the expected gap, from which the engines of a stream are suspected to be slow.
+const SLOW_GAP_FACTOR: f64 = 2.0;
+/// Minimum gap that counts as slow. Shorter gaps meet the objectives of every route and are common under load.
+const MIN_SLOW_GAP: Duration = Duration::from_millis(150);
+/// One in this many requests that succeed in time is logged. The sample depends on the id, so that all boxes log the same requests.
+const SUCCESS_LOG_SAMPLING: u64 = 16;
 
-/// A chain at work on a stream.
-pub(super) struct Running {
+/// A chain that is producing a stream.
+pub(super) struct RunningChain {
     body: Incoming,
-    /// Dropping it cancels the work; it is kept after a whole answer.
+    /// Dropping the connection cancels the request; it is reused after a complete answer.
     connection: Option<Connection>,
     occupied: Occupied,
-    /// The engine that answers for the chain.
+    /// The engine that received the request and sends the answer.
     first: Recipient,
-    /// Time between two events, as expected and corrected by those that came.
+    /// Estimated gap between events: the expected one, updated by the observed ones.
     gaps: Gaps,
-    pace: Pace,
+    timing: Timing,
     held_up: HeldUp,
-    /// When the last event came, or when waiting began.
-    since: Instant,
-    /// When to look at the engines if no event comes.
-    look_at: Instant,
-    /// Changes when targets started again or are found dead.
+    /// Time of the last event, or when waiting for the first one started.
+    waiting_since: Instant,
+    /// When to check the engines if no event arrives.
+    check_at: Instant,
+    /// Targets that restarted or were found dead.
     runs_ended: watch::Receiver<Vec<EngineKey>>,
-    /// Tells of requests that get no more targets.
-    stopped: watch::Receiver<u64>,
-    /// The path that the engines hand the request on along, if it has one.
+    /// Changes when a request is quarantined.
+    quarantine_changes: watch::Receiver<u64>,
+    /// The path along which the engines forward the request, if it has one.
     path: Option<Path>,
-    /// Events that the caller had before this chain.
+    /// Number of events that the caller received before this chain.
     events_before: u64,
-    /// Repairs of the path that were ordered.
+    /// Number of ordered repairs of the path.
     repairs: u32,
-    /// The repair that is under way.
+    /// The pending repair.
     repair: Option<Repair>,
 }
 
-/// What was expected of a chain, and what it did.
+/// Expected and observed timing of a chain.
 #[derive(Debug, Clone, Copy)]
-pub(super) struct Pace {
+pub(super) struct Timing {
     pub began: Instant,
     expected_first: Duration,
     expected_gap: Duration,
     first: Option<Duration>,
-    longest: Duration,
+    longest_gap: Duration,
     events: u32,
-    /// When the last event before a repair came.
-    paused_at: Option<Instant>,
+    /// Time of the last event before a repair.
+    repair_pause_from: Option<Instant>,
 }
 
-impl Pace {
+impl Timing {
     pub fn new(began: Instant, expected_first: Duration, expected_gap: Duration) -> Self {
-        Pace {
+        Timing {
             began,
             expected_first,
             expected_gap,
             first: None,
-            longest: Duration::ZERO,
+            longest_gap: Duration::ZERO,
             events: 0,
-            paused_at: None,
+            repair_pause_from: None,
         }
     }
 
-    fn note(&mut self, now: Instant, since: Instant) {
-        let since = self.paused_at.take().unwrap_or(since);
+    fn record_event(&mut self, now: Instant, since: Instant) {
+        let since = self.repair_pause_from.take().unwrap_or(since);
         match self.first {
             None => self.first = Some(now.since(self.began)),
-            Some(_) => self.longest = self.longest.max(now.since(since)),
+            Some(_) => self.longest_gap = self.longest_gap.max(now.since(since)),
         }
         self.events += 1;
     }
 
-    /// Keep what a whole stream shows.
-    fn keep(&self, relay: &Relay, call: &Call, engines: &[EngineKey]) {
+    /// Records the timing of a complete stream in metrics and the log.
+    fn record(&self, relay: &Relay, call: &Call, engines: &[EngineKey]) {
         let first = self.first.unwrap_or_default();
         let took = relay.now().since(self.began);
         relay.note_held(took);
         relay.times.first_event.observe(first.as_secs_f64());
-        relay.times.longest_gap.observe(self.longest.as_secs_f64());
+        relay
+            .times
+            .longest_gap
+            .observe(self.longest_gap.as_secs_f64());
         relay.times.answer.observe(took.as_secs_f64());
         let is_first_late = first > call.route.objective;
         let gap_objective = call.route.gap_objective();
-        let is_gap_late = gap_objective.is_some_and(|gap| self.longest > gap);
+        let is_gap_late = gap_objective.is_some_and(|gap| self.longest_gap > gap);
         let is_late = is_first_late || is_gap_late;
-        if !is_late && !call.draw.is_multiple_of(SUCCESSES_LOGGED) {
+        if !is_late && !call.draw.is_multiple_of(SUCCESS_LOG_SAMPLING) {
             return;
         }
         let gaps = self.events.saturating_sub(1).max(1);
@@ -117,52 +120,52 @@
             event = "answered", id = &*call.head.id, parts = engines.len(),
             first_ms = ms(first), expected_first_ms = ms(self.expected_first),
             gap_ms = ms(took.saturating_sub(first) / gaps), expected_gap_ms = ms(self.expected_gap),
-            longest_ms = ms(self.longest), events = self.events, took_ms = ms(took), late = is_late, first_late = is_first_late,
+            longest_ms = ms(self.longest_gap), events = self.events, took_ms = ms(took), late = is_late, first_late = is_first_late,
             targets = &*engine_names(relay, engines);
-            "a stream is whole"
+            "stream completed"
         );
     }
 }
 
-/// How a chain stopped.
-pub(super) enum Stopped {
-    /// The stream is whole.
-    Whole,
-    /// The engines broke off.
-    Broke(String),
-    /// The engines broke off, which may be since the caller read too slowly.
-    Unread(String),
-    /// These of its engines are dead.
+/// Why a chain stopped.
+pub(super) enum StopReason {
+    /// The stream is complete.
+    Complete,
+    /// The engines broke off the stream.
+    Interrupted(String),
+    /// The engines broke off the stream, possibly because the caller read too slowly.
+    InterruptedUnread(String),
+    /// These engines of the chain are dead.
     Dead(Vec<EngineKey>),
-    /// The final answer is due.
-    Late,
-    /// The request gets no more targets.
+    /// The deadline of the request has passed.
+    DeadlineExceeded,
+    /// The request was quarantined.
     Quarantined,
 }
 
-impl Running {
-    /// A chain whose answer's head has come.
+impl RunningChain {
+    /// Creates a chain from the received head of its answer.
     pub fn new(
         body: Incoming,
         connection: Connection,
         occupied: Occupied,
         first: Recipient,
-        pace: Pace,
+        timing: Timing,
         relay: &Relay,
     ) -> Self {
         let now = relay.now();
-        let mut running = Running {
+        let mut running = RunningChain {
             body,
             connection: Some(connection),
             occupied,
             first,
-            gaps: Gaps::expected(pace.expected_gap),
-            pace,
+            gaps: Gaps::expected(timing.expected_gap),
+            timing,
             held_up: HeldUp::default(),
-            since: now,
-            look_at: now,
+            waiting_since: now,
+            check_at: now,
             runs_ended: relay.runs_ended(),
-            stopped: relay.stopped(),
+            quarantine_changes: relay.stopped(),
             path: None,
             events_before: 0,
             repairs: 0,
@@ -172,132 +175,134 @@
         running
     }
 
-    /// The engines hand the request on along `path`, which was repaired so often, and begin after the event `last`.
-    pub fn follow(&mut self, path: Option<Path>, last: Option<u64>, repairs: u32) {
+    /// Sets the path along which the engines forward the request, the number of its repairs so far, and the event `last` after which
+    /// the chain starts.
+    pub fn set_path(&mut self, path: Option<Path>, last: Option<u64>, repairs: u32) {
         self.path = path;
         self.repairs = repairs;
         self.events_before = last.unwrap_or(0);
     }
 
-    /// The chain's engines.
+    /// Returns the engines of the chain.
     pub fn engines(&self) -> &[EngineKey] {
         self.occupied.engines()
     }
 
-    /// The engine that answers for the chain.
+    /// Returns the engine that received the request.
     pub fn first(&self) -> &Recipient {
         &self.first
     }
 
-    /// Events that the chain has yielded.
+    /// Returns the number of events that the chain has yielded.
     pub fn events(&self) -> u32 {
-        self.pace.events
+        self.timing.events
     }
 
-    /// The runs of its engines, for the log.
-    pub fn names(&self, relay: &Relay) -> String {
+    /// Returns the ids of the engines, for the log.
+    pub fn engine_names(&self, relay: &Relay) -> String {
         engine_names(relay, self.engines())
     }
 
-    /// Begin to wait for an event, with time for other prompts that the engines read first.
+    /// Starts to wait for an event, with extra time for other prompts that the engines process first.
     pub fn wait_from(&mut self, now: Instant) {
-        self.since = now;
-        self.look_at = now + self.gaps.overdue_after() + FIRST_SLACK;
+        self.waiting_since = now;
+        self.check_at = now + self.gaps.overdue_after() + FIRST_EVENT_MARGIN;
     }
 
-    /// Reading stopped at `from`, since the caller took nothing, and goes on at `now`.
+    /// Records that reading was paused from `from` until `now`, since the caller took nothing.
     pub fn paused(&mut self, from: Instant, now: Instant) {
         if self.held_up.paused(now.since(from)) {
             self.wait_from(now);
         }
     }
 
-    /// The next whole events that the caller lacks, or how the chain stopped.
+    /// Returns the next complete events that the caller has not received, or why the chain stopped.
     pub async fn next(
         &mut self,
         relay: &Relay,
         call: &Call,
         attempts: &Attempts,
         splitter: &mut Splitter,
-    ) -> Result<Bytes, Stopped> {
+    ) -> Result<Bytes, StopReason> {
         loop {
-            let asked = relay.now();
-            let until = relay.timer(call.due.min(self.look_at));
-            let has_events = self.events() > 0;
+            let started_at = relay.now();
+            let until = relay.timer(call.due.min(self.check_at));
+            let has_yielded = self.events() > 0;
             let frame = tokio::select! {
                 biased;
                 frame = self.body.frame() => frame,
-                told = repair::answered(&mut self.repair) => {
-                    self.judge_repair(relay, call, attempts, told)?;
+                answer = repair::wait_for_answer(&mut self.repair) => {
+                    self.finish_repair(relay, call, attempts, answer)?;
                     continue;
                 }
-                // The sender lives as long as the relay. A stream whose engine started again gets no more of it.
+                // The sender lives as long as the relay. An engine that restarted sends no more events of this stream.
                 Ok(()) = self.runs_ended.changed() => {
-                    self.held_up.waited(relay.now().since(asked));
-                    self.leave_ended(relay, call, attempts)?;
+                    self.held_up.waited(relay.now().since(started_at));
+                    self.leave_ended_runs(relay, call, attempts)?;
                     continue;
                 }
-                () = relay.until_quarantined(call, &mut self.stopped), if !has_events => {
-                    return Err(Stopped::Quarantined);
+                () = relay.until_quarantined(call, &mut self.quarantine_changes), if !has_yielded => {
+                    return Err(StopReason::Quarantined);
                 }
                 () = tokio::time::sleep_until(until) => {
-                    self.held_up.waited(relay.now().since(asked));
-                    self.look(relay, call, attempts).await?;
+                    self.held_up.waited(relay.now().since(started_at));
+                    self.check_overdue(relay, call, attempts).await?;
                     continue;
                 }
             };
-            self.held_up.waited(relay.now().since(asked));
+            self.held_up.waited(relay.now().since(started_at));
             let Some(frame) = frame else {
-                return Err(self.ended(relay, call, splitter));
+                return Err(self.finish(relay, call, splitter));
             };
-            let frame = frame.map_err(|err| self.broke(err.to_string()))?;
-            // Trailers say nothing of the events.
+            let frame = frame.map_err(|err| self.interrupted(err.to_string()))?;
+            // Trailers carry no events.
             let Ok(data) = frame.into_data() else {
                 continue;
             };
-            self.note(relay);
+            self.handle_data(relay);
             let events = splitter.push(&data);
-            let events = events.map_err(|_| Stopped::Broke("an event does not end".to_owned()))?;
+            let events =
+                events.map_err(|_| StopReason::Interrupted("event too long".to_owned()))?;
             if !events.is_empty() {
                 return Ok(events);
             }
         }
     }
 
-    fn broke(&self, why: String) -> Stopped {
+    fn interrupted(&self, why: String) -> StopReason {
         match self.held_up.is_unread() {
-            true => Stopped::Unread(why),
-            false => Stopped::Broke(why),
+            true => StopReason::InterruptedUnread(why),
+            false => StopReason::Interrupted(why),
         }
     }
 
-    /// Targets started again: leave them at once if this stream ran there and can go on elsewhere.
-    fn leave_ended(
+    /// Handles targets whose runs ended. Leaves the chain immediately if it includes one of them and the stream can continue elsewhere.
+    fn leave_ended_runs(
         &mut self,
         relay: &Relay,
         call: &Call,
         attempts: &Attempts,
-    ) -> Result<(), Stopped> {
+    ) -> Result<(), StopReason> {
         let lost: Vec<EngineKey> = {
             let ended = self.runs_ended.borrow();
             let engines = self.engines().iter().copied();
             engines.filter(|key| ended.contains(key)).collect()
         };
-        // Its own next event is not due yet: what a check found may be a lost packet.
-        if relay.now() < self.since + self.gaps.due_after() && !relay.have_ended(&lost) {
+        // The next event of this stream is not due yet, and the failed check of another stream may be due to a lost packet.
+        if relay.now() < self.waiting_since + self.gaps.due_after() && !relay.have_ended(&lost) {
             return Ok(());
         }
-        if lost.is_empty() || self.begin_repair(relay, call, attempts, &lost) {
+        if lost.is_empty() || self.start_repair(relay, call, attempts, &lost) {
             return Ok(());
         }
-        if send::may_go_elsewhere(relay, call, attempts, &lost) {
-            return Err(Stopped::Dead(lost));
+        if send::can_send_elsewhere(relay, call, attempts, &lost) {
+            return Err(StopReason::Dead(lost));
         }
         Ok(())
     }
 
-    /// Whether the path is repaired without the engines `dead`; their order is given if none is under way.
-    fn begin_repair(
+    /// Orders a repair of the path without the engines `dead` unless one is pending; returns whether one is.
+    fn start_repair(
         &mut self,
         relay: &Relay,
         call: &Call,
@@ -308,129 +313,134 @@
             let events = self.events_before + u64::from(self.events());
             let path = self.path.as_ref();
             self.repair = path.and_then(|path| {
-                Repair::begin(relay, call, attempts, &self.first, path, events, dead)
+                Repair::start(relay, call, attempts, &self.first, path, events, dead)
             });
             self.repairs += u32::from(self.repair.is_some());
         }
         if self.repair.is_some() {
-            self.look_at = relay.now() + repair::LONGEST;
+            self.check_at = relay.now() + repair::MAX_DURATION;
         }
         self.repair.is_some()
     }
 
-    /// The first engine answered to the order under way, or did not.
-    fn judge_repair(
+    /// Handles the answer to the pending repair order, or its timeout.
+    fn finish_repair(
         &mut self,
         relay: &Relay,
         call: &Call,
         attempts: &Attempts,
-        told: repair::Told,
-    ) -> Result<(), Stopped> {
+        answer: repair::Answer,
+    ) -> Result<(), StopReason> {
         let Some(repair) = self.repair.take() else {
             return Ok(());
         };
         let now = relay.now();
-        let silent_for = now.since(self.since);
-        match repair.judge(relay, call, &self.first, told, silent_for) {
-            Outcome::Again(repair) => {
+        let silent_for = now.since(self.waiting_since);
+        match repair.finish(relay, call, &self.first, answer, silent_for) {
+            Outcome::Retry(repair) => {
                 self.repair = Some(repair);
-                self.look_at = now + repair::LONGEST;
+                self.check_at = now + repair::MAX_DURATION;
             }
-            Outcome::Repaired(done) => {
-                self.pace.paused_at.get_or_insert(self.since);
-                self.occupied.move_to(done.choice.path.engines(), done.read);
-                self.path = Some(done.choice.path);
+            Outcome::Repaired(completed) => {
+                self.timing
+                    .repair_pause_from
+                    .get_or_insert(self.waiting_since);
+                self.occupied
+                    .move_to(completed.choice.path.engines(), completed.read);
+                self.path = Some(completed.choice.path);
                 self.wait_from(now);
-                self.look_at = self.look_at + done.choice.first;
+                self.check_at = self.check_at + completed.choice.first;
             }
             Outcome::Failed(dead) => {
-                if send::may_go_elsewhere(relay, call, attempts, &dead) {
-                    return Err(Stopped::Dead(dead));
+                if send::can_send_elsewhere(relay, call, attempts, &dead) {
+                    return Err(StopReason::Dead(dead));
                 }
-                self.look_at = now + self.gaps.overdue_after();
+                self.check_at = now + self.gaps.overdue_after();
             }
         }
         Ok(())
     }
 
-    /// No event came in time: is the final answer due, or are engines dead?
-    async fn look(
+    /// Checks the deadline and the engines after no event arrived in time.
+    async fn check_overdue(
         &mut self,
         relay: &Relay,
         call: &Call,
         attempts: &Attempts,
-    ) -> Result<(), Stopped> {
+    ) -> Result<(), StopReason> {
         if relay.now() >= call.due {
-            return Err(Stopped::Late);
+            return Err(StopReason::DeadlineExceeded);
         }
-        let overdue_at = self.since + self.gaps.overdue_after();
+        let overdue_at = self.waiting_since + self.gaps.overdue_after();
         let dead = match relay.now() < overdue_at {
             true => {
                 let silent = relay.silent_on_all_streams(self.engines(), self.gaps.due_after());
                 relay.find_dead(&silent).await
             }
-            false => dead_of_silent(relay, self.engines(), self.gaps.overdue_after()).await,
+            false => find_dead_among_silent(relay, self.engines(), self.gaps.overdue_after()).await,
         };
-        if !dead.is_empty() && self.begin_repair(relay, call, attempts, &dead) {
+        if !dead.is_empty() && self.start_repair(relay, call, attempts, &dead) {
             return Ok(());
         }
-        if !dead.is_empty() && send::may_go_elsewhere(relay, call, attempts, &dead) {
-            return Err(Stopped::Dead(dead));
+        if !dead.is_empty() && send::can_send_elsewhere(relay, call, attempts, &dead) {
+            return Err(StopReason::Dead(dead));
         }
         let now = relay.now();
-        self.look_at = match now < overdue_at {
+        self.check_at = match now < overdue_at {
             true => overdue_at,
             false => now + self.gaps.overdue_after(),
         };
         Ok(())
     }
 
-    /// Bytes of the stream came.
-    fn note(&mut self, relay: &Relay) {
+    /// Updates the timing and the progress of the engines after data arrived.
+    fn handle_data(&mut self, relay: &Relay) {
         let now = relay.now();
         self.occupied.end_reading();
-        self.pace.note(now, self.since);
-        let gap = now.since(self.since);
-        self.since = now;
-        self.look_at = now + self.gaps.overdue_after();
-        // What piled up while the caller did not read says nothing of the engines' pace, or whether they still run.
+        self.timing.record_event(now, self.waiting_since);
+        let gap = now.since(self.waiting_since);
+        self.waiting_since = now;
+        self.check_at = now + self.gaps.overdue_after();
+        // Data that accumulated while the caller did not read shows neither the speed of the engines nor whether they still run.
         if self.held_up.is_behind() {
             return;
         }
         relay.progress.borrow_mut().note(self.engines(), now);
-        if gap > LEAST_SLOW && gap > self.pace.expected_gap.mul_f64(SLOW_GAPS) {
+        if gap > MIN_SLOW_GAP && gap > self.timing.expected_gap.mul_f64(SLOW_GAP_FACTOR) {
             relay.note_slow(self.engines());
         }
         self.gaps.note(gap);
-        self.look_at = now + self.gaps.due_after();
+        self.check_at = now + self.gaps.due_after();
     }
 
-    /// The body has ended in order. A part of an event shows that the engine did not mean to.
-    fn ended(&mut self, relay: &Relay, call: &Call, splitter: &Splitter) -> Stopped {
+    /// Handles the regular end of the body. An incomplete last event shows that the engine did not end the stream intentionally.
+    fn finish(&mut self, relay: &Relay, call: &Call, splitter: &Splitter) -> StopReason {
         if splitter.has_part() {
-            return self.broke("it ended within an event".to_owned());
+            return self.interrupted("answer ended within an event".to_owned());
         }
-        self.pace.keep(relay, call, self.engines());
+        self.timing.record(relay, call, self.engines());
         relay.answered_whole(call);
         if let Some(connection) = self.connection.take() {
             relay.connections.keep(connection, relay.now());
         }
-        Stopped::Whole
+        StopReason::Complete
     }
 }
 
-/// The runs of engines, for the log.
+/// Returns the ids of engines, for the log.
 pub(super) fn engine_names(relay: &Relay, engines: &[EngineKey]) -> String {
     let fleet = relay.fleet.borrow();
     let name = |key: &EngineKey| fleet.get(*key).map_or("gone", |engine| &*engine.entry.id);
     engines.iter().map(name).collect::<Vec<&str>>().join(",")
 }
 
-/// Engines of a chain without an event for `silence`, over any stream, that take no connections. Counted
-/// from now: what passed an engine after this stream's last event says nothing once it has died, and counted from that event
-/// one stream of each box would leave it, while the others stand still until their callers give up. Where one is known to be
-/// dead already, the others stand still for it and are not asked, which saves their connections.
-pub(super) async fn dead_of_silent(
+/// Returns those engines of a chain that had no event for `silence`, over any stream, and that do not accept connections.
+///
+/// The silence counts back from now rather than from this stream's last event: events that passed an engine after that event mean
+/// nothing once it has died. Counted from that event, only one stream of each box would leave the engine, while the others stall
+/// until their callers give up. If an engine is already known to be dead, the others are silent because of it and are not probed,
+/// which saves connections.
+pub(super) async fn find_dead_among_silent(
     relay: &Relay,
     engines: &[EngineKey],
     silence: Duration,
--- a/reachtally-relay/src/stream/mod.rs
+++ b/reachtally-relay/src/stream/mod.rs
@@ -1,10 +1,11 @@
-//! Requests whose answer is a series of events, for chains of engines.
+//! Relaying of streamed answers: events that a chain of engines produces.
 //!
-//! Events are passed on as they come, only whole and only in order. When the engines break off or are
-//! found dead, a stream that may be resumed goes on over another chain within the same answer, after
-//! the last event that the caller got. Where the first engine lives it is asked to repair the path instead.
+//! Events are forwarded as they arrive, only complete ones and only in order. If the chain breaks off or
+//! some of its engines are found dead, a resumable stream continues over another chain within the same
+//! answer, after the last event that the caller received. If the first engine is alive, it is asked to
+//! repair the path instead.
 //!
-//! Engines are read ahead of the caller, up to a bound. Beyond it they are held up.
+//! Events are read ahead of the caller up to a bound, beyond which the engines are subject to backpressure.
 
 mod ahead;
 mod chain;
@@ -29,26 +30,26 @@
 use crate::serve::Call;
 use crate::target::Driver;
 pub(crate) use ahead::Pool;
-use ahead::{Ahead, Item, Room};
-use chain::{Running, Stopped};
-use send::Answered;
+use ahead::{EventQueue, Item, Readiness};
+use chain::{RunningChain, StopReason};
+use send::EngineAnswer;
 
-/// Pause between two looks for a path where none was found.
-const LOOK_AGAIN: Duration = Duration::from_millis(40);
-/// How long a stream that broke off waits for another path; callers leave after two seconds.
-const LOOK_FOR: Duration = Duration::from_millis(1500);
+/// Interval at which a path is searched for while there is none.
+const RESUME_RETRY_INTERVAL: Duration = Duration::from_millis(40);
+/// Time for which an interrupted stream waits for another path. Callers give up after two seconds.
+const RESUME_TIMEOUT: Duration = Duration::from_millis(1500);
 
-/// Relay a request; yields the answer's head, its body follows.
+/// Relays a request; returns the head of the answer, with a body that streams the events.
 pub(crate) async fn relay(relay: &Rc<Relay>, call: Call) -> Response<Body> {
     let mut attempts = Attempts::new();
     let last = call.head.last_event;
     let mut is_admitted = false;
     loop {
-        let pick = send::choose(relay, &call, &attempts.avoid);
-        if !is_admitted && let Some(offered) = pick.as_ref().map(|pick| pick.offer) {
+        let selection = send::select_engines(relay, &call, &attempts.avoid);
+        if !is_admitted && let Some(offered) = selection.as_ref().map(|selection| selection.offer) {
             is_admitted = true;
-            let look = || Some(send::choose(relay, &call, &[])?.offer);
-            match relay.admit(&call, offered, look).await {
+            let reselect = || Some(send::select_engines(relay, &call, &[])?.offer);
+            match relay.admit(&call, offered, reselect).await {
                 Decision::Admitted => {}
                 Decision::AdmittedLater => continue,
                 Decision::Refused(after) => {
@@ -57,24 +58,24 @@
                 }
             }
         }
-        let Some(pick) = pick else {
+        let Some(selection) = selection else {
             let would_serve = send::would_serve(relay, &call, &attempts.avoid);
             if relay.await_permits(&call, would_serve).await {
                 continue;
             }
-            send::log_shortage(relay, &call, &attempts.avoid);
+            send::log_shortfall(relay, &call, &attempts.avoid);
             break;
         };
         if !attempts.may_send(relay, &call) {
             break;
         }
-        match send::send(relay, &call, pick, last, &mut attempts).await {
-            Ok(Answered::Stream(answer)) => {
+        match send::send(relay, &call, selection, last, &mut attempts).await {
+            Ok(EngineAnswer::Stream(answer)) => {
                 attempts.answered();
                 let (head, running) = *answer;
-                return streamed(relay.clone(), call, head, running, attempts);
+                return stream_response(relay.clone(), call, head, running, attempts);
             }
-            Ok(Answered::Failure(response)) => {
+            Ok(EngineAnswer::Failure(response)) => {
                 relay.answered_whole(&call);
                 return response;
             }
@@ -85,28 +86,28 @@
             }
         }
     }
-    let back_off = send::back_off_left(relay, &call);
+    let back_off = send::remaining_back_off(relay, &call);
     attempts.give_up(relay, &call, back_off)
 }
 
-/// An answer whose body gets the events that a task of its own reads. Dropping the body ends the task.
-fn streamed(
+/// Returns an answer whose body yields the events that a separate task reads. Dropping the body aborts the task.
+fn stream_response(
     relay: Rc<Relay>,
     call: Call,
     head: Response<()>,
-    running: Running,
+    running: RunningChain,
     attempts: Attempts,
 ) -> Response<Body> {
     let (parts, ()) = head.into_parts();
-    let (ahead, mut queue) = ahead::queue(&relay);
-    let reading = read(relay.clone(), call, running, attempts, ahead);
+    let (queue, mut receiver) = ahead::queue(&relay);
+    let reading = read_events(relay.clone(), call, running, attempts, queue);
     let reader = Driver(tokio::task::spawn_local(reading));
     let events = async_stream::stream! {
         let _reader = reader;
         loop {
-            match queue.recv().await {
+            match receiver.recv().await {
                 Some(Item::Events(events)) => yield Ok(Frame::data(events)),
-                Some(Item::Whole) => {
+                Some(Item::Complete) => {
                     relay.count(|tally| tally.requests_answered += 1);
                     return;
                 }
@@ -120,138 +121,145 @@
     Response::from_parts(parts, Box::pin(StreamBody::new(events)))
 }
 
-/// Follow chains until the stream is whole or can't go on.
-async fn read(
+/// Reads events, over one chain after another if necessary, until the stream is complete or can't continue.
+async fn read_events(
     relay: Rc<Relay>,
     call: Call,
-    mut running: Running,
+    mut running: RunningChain,
     mut attempts: Attempts,
-    ahead: Ahead,
+    queue: EventQueue,
 ) {
     let mut splitter = Splitter::after(call.head.last_event);
     loop {
-        let room = ahead.room(&relay, call.due).await;
-        if let Room::Since(paused) = room {
+        let readiness = queue.wait_for_capacity(&relay, call.due).await;
+        if let Readiness::AfterPause(paused) = readiness {
             running.paused(paused, relay.now());
         }
-        let next = match room {
-            Room::Late => Err(Stopped::Late),
-            Room::Now | Room::Since(_) => {
+        let next = match readiness {
+            Readiness::DeadlineExceeded => Err(StopReason::DeadlineExceeded),
+            Readiness::Ready | Readiness::AfterPause(_) => {
                 running.next(&relay, &call, &attempts, &mut splitter).await
             }
         };
-        let stopped = match next {
+        let reason = match next {
             Ok(events) => {
-                ahead.push(events);
+                queue.push(events);
                 continue;
             }
-            Err(stopped) => stopped,
+            Err(reason) => reason,
         };
-        let stream = Stream {
+        let stream = StoppedStream {
             relay: &relay,
             call: &call,
             splitter: &splitter,
             running: &running,
-            ahead: &ahead,
+            queue: &queue,
         };
-        match go_on(&stream, &mut attempts, stopped).await {
-            Next::Done => return ahead.end(),
-            Next::Other(other) => {
+        match handle_stop(&stream, &mut attempts, reason).await {
+            Continuation::Complete => return queue.complete(),
+            Continuation::Resumed(other) => {
                 running = *other;
                 splitter.restart();
             }
-            Next::Same => running.wait_from(relay.now()),
-            Next::Cut(why) => {
+            Continuation::SameChain => running.wait_from(relay.now()),
+            Continuation::Cut(why) => {
                 relay.count(|tally| tally.streams_cut += 1);
                 attempts.log(&relay, &call);
-                log::info!(event = "cut", id = &*call.head.id, why = why, last:? = splitter.last(), sends = attempts.sends(); "the stream ends before it is whole");
+                log::info!(event = "cut", id = &*call.head.id, why = why, last:? = splitter.last(), sends = attempts.sends(); "stream cut off before it was complete");
                 return;
             }
-            Next::Unread(why) => {
+            Continuation::CutSlowReader(why) => {
                 relay.count(|tally| tally.readers_cut += 1);
-                log::info!(event = "slow-reader", id = &*call.head.id, why = "its engine gave up", broke = &*why, last:? = splitter.last(), held = relay.read_ahead(); "a caller read too slowly and is cut off");
+                log::info!(event = "slow-reader", id = &*call.head.id, why = "its engine gave up", broke = &*why, last:? = splitter.last(), held = relay.read_ahead(); "caller read too slowly; stream cut off");
                 return;
             }
         }
     }
 }
 
-/// A stream whose chain stopped.
-struct Stream<'a> {
+/// A stream whose current chain stopped.
+struct StoppedStream<'a> {
     relay: &'a Rc<Relay>,
     call: &'a Call,
     splitter: &'a Splitter,
-    running: &'a Running,
-    ahead: &'a Ahead,
+    running: &'a RunningChain,
+    queue: &'a EventQueue,
 }
 
-/// How a stream goes on after its chain stopped.
-enum Next {
-    /// It is whole.
-    Done,
-    /// Over another chain.
-    Other(Box<Running>),
-    /// Over the same one, which is not over yet.
-    Same,
-    /// Not at all.
+/// How a stream continues after its chain stopped.
+enum Continuation {
+    /// The stream is complete.
+    Complete,
+    /// It continues over another chain.
+    Resumed(Box<RunningChain>),
+    /// It continues over the same chain, which is still running.
+    SameChain,
+    /// It is cut off.
     Cut(&'static str),
-    /// Not at all, since its caller read too slowly for the engine.
-    Unread(String),
+    /// It is cut off, since its caller read too slowly for the engine.
+    CutSlowReader(String),
 }
 
-async fn go_on(stream: &Stream<'_>, attempts: &mut Attempts, stopped: Stopped) -> Next {
-    let Stream {
+async fn handle_stop(
+    stream: &StoppedStream<'_>,
+    attempts: &mut Attempts,
+    reason: StopReason,
+) -> Continuation {
+    let StoppedStream {
         relay,
         call,
         splitter,
         running,
-        ahead,
+        queue,
     } = *stream;
-    match stopped {
-        Stopped::Whole => Next::Done,
-        Stopped::Late => Next::Cut("it took as long as it may"),
-        Stopped::Quarantined => Next::Cut("engines ended under it elsewhere"),
-        Stopped::Unread(why) if relay.find_dead(running.engines()).await.is_empty() => {
-            Next::Unread(why)
+    match reason {
+        StopReason::Complete => Continuation::Complete,
+        StopReason::DeadlineExceeded => Continuation::Cut("deadline exceeded"),
+        StopReason::Quarantined => Continuation::Cut("request quarantined"),
+        StopReason::InterruptedUnread(why)
+            if relay.find_dead(running.engines()).await.is_empty() =>
+        {
+            Continuation::CutSlowReader(why)
         }
-        Stopped::Broke(why) | Stopped::Unread(why) => {
-            log::info!(event = "broke", id = &*call.head.id, why = &*why, last:? = splitter.last(), events = running.events(), targets = &*running.names(relay), fingerprint:% = call.fingerprint(); "a stream broke off");
-            note_end(relay, call, running).await;
+        StopReason::Interrupted(why) | StopReason::InterruptedUnread(why) => {
+            log::info!(event = "broke", id = &*call.head.id, why = &*why, last:? = splitter.last(), events = running.events(), targets = &*running.engine_names(relay), fingerprint:% = call.fingerprint(); "stream interrupted");
+            record_crash(relay, call, running).await;
             let dead = relay.find_dead(running.engines()).await;
             match dead.is_empty() {
                 true => attempts.avoid.extend(running.engines().first()),
                 false => attempts.avoid.extend(dead),
             }
-            // Another chain would be held up in its turn.
-            ahead.until_taken().await;
-            let until = relay.now() + LOOK_FOR;
+            // While the caller takes nothing, another chain would only be blocked too.
+            queue.wait_until_consumed().await;
+            let until = relay.now() + RESUME_TIMEOUT;
             match resume(relay, call, attempts, splitter, until).await {
-                Some(other) => Next::Other(Box::new(other)),
+                Some(other) => Continuation::Resumed(Box::new(other)),
                 None => {
-                    send::log_shortage(relay, call, &attempts.avoid);
-                    Next::Cut("no other chain took it")
+                    send::log_shortfall(relay, call, &attempts.avoid);
+                    Continuation::Cut("no other chain accepted the request")
                 }
             }
         }
-        Stopped::Dead(engines) => {
+        StopReason::Dead(engines) => {
             log::info!(event = "stage-dead", id = &*call.head.id, engines = engines.len(), last:? = splitter.last(); "engines of a stream are dead");
             if engines.first() == running.engines().first() {
-                note_end(relay, call, running).await;
+                record_crash(relay, call, running).await;
             }
             attempts.avoid.extend(engines);
-            ahead.until_taken().await;
+            queue.wait_until_consumed().await;
             let now = relay.now();
             match resume(relay, call, attempts, splitter, now).await {
-                Some(other) => Next::Other(Box::new(other)),
-                None => Next::Same,
+                Some(other) => Continuation::Resumed(Box::new(other)),
+                None => Continuation::SameChain,
             }
         }
     }
 }
 
-/// The first engine of a chain broke off or is dead. Where the chain had begun the request and yielded nothing, the request may
-/// be the cause; what had come further is left out, since a hundred streams break with each engine.
-async fn note_end(relay: &Relay, call: &Call, running: &Running) {
+/// Records that the first engine of a chain broke off or died. Only a chain that had started the request and yielded no event
+/// counts, since the request may be the cause. Streams that were further on are ignored, since a hundred of them break with each
+/// engine.
+async fn record_crash(relay: &Relay, call: &Call, running: &RunningChain) {
     if running.events() == 0 {
         relay
             .target_broke_off(call, running.first(), Progress::Begun)
@@ -259,14 +267,14 @@
     }
 }
 
-/// Go on over another chain after the last event that the caller got; look for one until `until`.
+/// Resumes the stream over another chain after the last event that the caller received; retries until `until` while there is none.
 async fn resume(
     relay: &Rc<Relay>,
     call: &Call,
     attempts: &mut Attempts,
     splitter: &Splitter,
     until: Instant,
-) -> Option<Running> {
+) -> Option<RunningChain> {
     let Shape::Events {
         resumable: true, ..
     } = call.route.shape
@@ -274,28 +282,28 @@
         return None;
     };
     loop {
-        let Some(pick) = send::choose(relay, call, &attempts.avoid) else {
+        let Some(selection) = send::select_engines(relay, call, &attempts.avoid) else {
             if relay.now() >= until || !attempts.may_run(call) {
                 return None;
             }
-            tokio::time::sleep(LOOK_AGAIN).await;
+            tokio::time::sleep(RESUME_RETRY_INTERVAL).await;
             continue;
         };
         if !attempts.may_send(relay, call) {
             return None;
         }
-        match send::send(relay, call, pick, splitter.last(), attempts).await {
-            Ok(Answered::Stream(answer)) => {
+        match send::send(relay, call, selection, splitter.last(), attempts).await {
+            Ok(EngineAnswer::Stream(answer)) => {
                 attempts.answered();
                 relay.count(|tally| tally.streams_resumed += 1);
                 log::info!(event = "resumed", id = &*call.head.id, last:? = splitter.last(), send = attempts.sends(); "the stream goes on over another chain");
                 return Some(answer.1);
             }
-            Ok(Answered::Failure(response)) => {
-                // The request ran there, so that it counts: the chain that is waited for again may stop once more.
+            Ok(EngineAnswer::Failure(response)) => {
+                // The request ran on that chain, so the attempt counts: the original chain, which is awaited again, may stop once more.
                 attempts.answered();
                 relay.answered_whole(call);
-                log::info!(event = "not-resumed", id = &*call.head.id, status = response.status().as_u16(); "another chain answered with a failure");
+                log::info!(event = "not-resumed", id = &*call.head.id, status = response.status().as_u16(); "stream not resumed: another chain answered with an error");
                 return None;
             }
             Err(why) => {
--- a/reachtally-relay/src/stream/repair.rs
+++ b/reachtally-relay/src/stream/repair.rs
@@ -1,7 +1,7 @@
-//! Repair of the path of a running stream, which its first engine is asked for when others of its engines are dead.
+//! Repair of the path of a running stream: the first engine is ordered to use a new path if other engines of the chain are dead.
 //!
-//! Only new engines read the prompt again, no retry is taken, and the stream goes on within the same answer. So this also serves
-//! streams that may not be resumed.
+//! Only new engines process the prompt again, no retry is consumed, and the stream continues within the same answer. So repairs
+//! also work for streams that must not be resumed.
 
 use std::pin::Pin;
 use std::time::Duration;
@@ -18,63 +18,63 @@
 use crate::stream::chain::engine_names;
 use crate::stream::send;
 
-/// Time for an engine's answer to an order. A stream stands still meanwhile, and resuming it elsewhere takes as long again.
-const ANSWER_TIMEOUT: Duration = Duration::from_millis(150);
-/// Longest time that a repair takes: two orders.
-pub(super) const LONGEST: Duration = Duration::from_millis(350);
-/// Most repairs of a stream on one chain.
-const MOST_REPAIRS: u32 = 3;
-/// Most repairs before the first event: a request may be what ends the engines that read it.
-const MOST_REPAIRS_UNREAD: u32 = 1;
+/// Timeout of an order. The stream stalls meanwhile, and resuming it on another chain afterwards takes as long again.
+const ORDER_TIMEOUT: Duration = Duration::from_millis(150);
+/// Maximum duration of a repair, which takes up to two orders.
+pub(super) const MAX_DURATION: Duration = Duration::from_millis(350);
+/// Maximum number of repairs of a stream on one chain.
+const MAX_REPAIRS: u32 = 3;
+/// Maximum number of repairs before the first event, since the request itself may crash the engines that process its prompt.
+const MAX_REPAIRS_BEFORE_FIRST_EVENT: u32 = 1;
 
-/// What an engine answered; `None` if it did not in time.
-pub(super) type Told = Option<store::Told<RepairAnswer>>;
+/// The answer of an engine to an order; `None` after a timeout.
+pub(super) type Answer = Option<store::Told<RepairAnswer>>;
 
-/// An order with the time for its answer.
+/// A pending order with its timeout.
 type Order = Pin<Box<tokio::time::Timeout<Repairing>>>;
 
-/// An order under way.
+/// A pending repair.
 pub(super) struct Repair {
     path: Path,
-    /// Tokens that new engines read.
+    /// What the request needs of new engines.
     need: Need,
     choice: Choice,
     dead: Vec<EngineKey>,
-    /// Engines that must not take part: dead ones, and the one that a refusal named.
+    /// Excluded engines: dead ones, and the one that a refusal blamed.
     avoid: Vec<EngineKey>,
-    is_second: bool,
+    is_retry: bool,
     order: Order,
 }
 
-/// A repair that the first engine has begun.
-pub(super) struct Done {
+/// A repair that the first engine has accepted.
+pub(super) struct CompletedRepair {
     /// The new path.
     pub choice: Choice,
-    /// Tokens that new engines read.
+    /// Prompt tokens that new engines process.
     pub read: f64,
 }
 
-/// How an order went.
+/// The outcome of an order.
 pub(super) enum Outcome {
-    /// The stream goes on over the new path.
-    Repaired(Done),
+    /// The stream continues over the new path.
+    Repaired(CompletedRepair),
     /// Another path was ordered.
-    Again(Repair),
-    /// The path stays, and these engines of it are dead.
+    Retry(Repair),
+    /// The path is unchanged, and these engines of it are dead.
     Failed(Vec<EngineKey>),
 }
 
-/// Whether the path of a stream with so many repairs and events may be repaired once more.
+/// Whether the path of a stream with this many repairs and events may be repaired once more.
 pub(super) fn may_repair(relay: &Relay, call: &Call, repairs: u32, events: u32) -> bool {
-    let most = match events {
-        0 => MOST_REPAIRS_UNREAD,
-        _ => MOST_REPAIRS,
+    let max = match events {
+        0 => MAX_REPAIRS_BEFORE_FIRST_EVENT,
+        _ => MAX_REPAIRS,
     };
-    repairs < most && !relay.is_quarantined(call)
+    repairs < max && !relay.is_quarantined(call)
 }
 
-/// Wait for the answer to an order under way; for ever without one.
-pub(super) async fn answered(repair: &mut Option<Repair>) -> Told {
+/// Waits for the answer to a pending order; never returns without one.
+pub(super) async fn wait_for_answer(repair: &mut Option<Repair>) -> Answer {
     match repair {
         Some(repair) => repair.order.as_mut().await.ok(),
         None => std::future::pending().await,
@@ -82,9 +82,9 @@
 }
 
 impl Repair {
-    /// Order a path without `dead` for a request of which the caller has `events`; `None` without such a path, or if the first engine
-    /// takes no orders.
-    pub fn begin(
+    /// Orders a path without `dead` for a request of which the caller has received `events`. Returns `None` if there is no such path
+    /// or the first engine accepts no orders.
+    pub fn start(
         relay: &Relay,
         call: &Call,
         attempts: &Attempts,
@@ -95,7 +95,7 @@
     ) -> Option<Self> {
         let mut avoid = attempts.avoid.clone();
         avoid.extend_from_slice(dead);
-        let need = need_after(call, events);
+        let need = remaining_need(call, events);
         let (choice, order) = order(relay, call, first, path, need, &avoid)?;
         Some(Repair {
             path: path.clone(),
@@ -103,23 +103,23 @@
             choice,
             dead: dead.to_vec(),
             avoid,
-            is_second: false,
+            is_retry: false,
             order,
         })
     }
 
-    /// What becomes of the order. After a refusal that names an engine, a path without that is ordered once.
-    pub fn judge(
+    /// Handles the answer to the order. After a refusal that blames an engine, orders a path without that engine once.
+    pub fn finish(
         mut self,
         relay: &Relay,
         call: &Call,
         first: &Recipient,
-        told: Told,
+        answer: Answer,
         silent_for: Duration,
     ) -> Outcome {
-        let answer = told.map_or(RepairAnswer::Lost, |told| {
-            relay.target_said(&first.run, told.said);
-            told.answer
+        let answer = answer.map_or(RepairAnswer::Lost, |answer| {
+            relay.target_said(&first.run, answer.said);
+            answer.answer
         });
         let id = &*call.head.id;
         let silent_ms = silent_for.as_millis() as u64;
@@ -127,30 +127,30 @@
             relay.count(|tally| tally.streams_repaired += 1);
             let targets = engine_names(relay, &self.choice.path.engines());
             log::info!(event = "repaired", id = id, engines = self.dead.len(), silent_ms = silent_ms, answer:? = answer, expected_ms = self.choice.first.as_millis() as u64, targets = &*targets; "the path of the stream was repaired");
-            return Outcome::Repaired(Done {
+            return Outcome::Repaired(CompletedRepair {
                 choice: self.choice,
                 read: self.need.prompt,
             });
         }
         log::info!(event = "not-repaired", id = id, engines = self.dead.len(), silent_ms = silent_ms, answer:? = answer; "the path of the stream was not repaired");
-        let Some(named) = self.named(answer).filter(|_| !self.is_second) else {
+        let Some(blamed) = self.blamed_engine(answer).filter(|_| !self.is_retry) else {
             return Outcome::Failed(self.dead);
         };
-        relay.target_refused(named);
-        self.avoid.push(named);
+        relay.target_refused(blamed);
+        self.avoid.push(blamed);
         match order(relay, call, first, &self.path, self.need, &self.avoid) {
-            Some((choice, order)) => Outcome::Again(Repair {
+            Some((choice, order)) => Outcome::Retry(Repair {
                 choice,
                 order,
-                is_second: true,
+                is_retry: true,
                 ..self
             }),
             None => Outcome::Failed(self.dead),
         }
     }
 
-    /// The engine of the path ordered that an answer blames.
-    fn named(&self, answer: RepairAnswer) -> Option<EngineKey> {
+    /// Returns the engine of the ordered path that the answer blames.
+    fn blamed_engine(&self, answer: RepairAnswer) -> Option<EngineKey> {
         let RepairAnswer::Conflict(Some(address)) = answer else {
             return None;
         };
@@ -160,8 +160,8 @@
     }
 }
 
-/// What a request needs of an engine that joins it after `events`.
-fn need_after(call: &Call, events: u64) -> Need {
+/// Returns what a request needs of an engine that joins its path after `events`.
+fn remaining_need(call: &Call, events: u64) -> Need {
     let need = send::need(call);
     let stride = call
         .service
@@ -176,7 +176,7 @@
     }
 }
 
-/// Choose a path without `avoid` and order it, within the time for an answer.
+/// Selects a path without `avoid` and orders it.
 fn order(
     relay: &Relay,
     call: &Call,
@@ -196,6 +196,6 @@
     let cx = relay.circumstance(&settings, avoid, call.draw);
     let choice = select::repair(&fleet, &call.service_name, model, need, &cx, path, &[])?;
     let order = repairs.repair(first.address, &call.head.id, &choice.path);
-    let order = tokio::time::timeout(ANSWER_TIMEOUT, order);
+    let order = tokio::time::timeout(ORDER_TIMEOUT, order);
     Some((choice, Box::pin(order)))
 }
--- a/reachtally-relay/src/stream/send.rs
+++ b/reachtally-relay/src/stream/send.rs
@@ -1,4 +1,4 @@
-//! One send of a request for a stream: which engines, and what comes of it.
+//! Sending a request for a stream: selection of engines, and handling of the head of their answer.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -21,50 +21,50 @@
 use crate::occupied::Occupied;
 use crate::relay::Relay;
 use crate::serve::Call;
-use crate::stream::chain::{FIRST_SLACK, Pace, Running, dead_of_silent};
-use crate::stream::repair::{self, Done, Outcome, Repair};
+use crate::stream::chain::{FIRST_EVENT_MARGIN, RunningChain, Timing, find_dead_among_silent};
+use crate::stream::repair::{self, CompletedRepair, Outcome, Repair};
 use crate::target::{self, Answer, SendError};
 use crate::wire::{Addition, AnswerHead};
 
-/// Time without the head of an answer after which a chain that is silent for all streams is left,
-/// though its engines take connections. Loaded chains begin within a second.
-const MUTE_AFTER: Duration = Duration::from_millis(1200);
+/// Time without the head of an answer after which a chain that is silent on all streams is abandoned
+/// although its engines accept connections. Loaded chains start within a second.
+const SILENT_CHAIN_TIMEOUT: Duration = Duration::from_millis(1200);
 
-/// Engines picked for a send.
-pub(super) struct Pick {
+/// Engines selected for a send.
+pub(super) struct Selection {
     path: Option<Path>,
     engines: Vec<EngineKey>,
-    /// Expected time between two events.
+    /// Expected gap between events.
     gap: Duration,
-    /// Expected time until the first.
+    /// Expected time until the first event.
     first: Duration,
-    /// What it offers to the request.
+    /// What these engines offer to the request, for admission.
     pub offer: Offer,
-    /// Repairs of the path that were ordered.
+    /// Number of ordered repairs of the path.
     repairs: u32,
 }
 
-impl Pick {
-    /// The request goes on over a repaired path.
-    fn follow(&mut self, done: Done, occupied: &mut Occupied) {
-        let path = done.choice.path;
+impl Selection {
+    /// Switches to a repaired path.
+    fn apply_repair(&mut self, completed: CompletedRepair, occupied: &mut Occupied) {
+        let path = completed.choice.path;
         self.engines = path.engines();
-        occupied.move_to(path.engines(), done.read);
+        occupied.move_to(path.engines(), completed.read);
         self.path = Some(path);
     }
 }
 
-/// What engines answered.
-pub(super) enum Answered {
-    /// The head of a stream, which follows.
-    Stream(Box<(Response<()>, Running)>),
-    /// A failure of the engine's own.
+/// The answer of the engines.
+pub(super) enum EngineAnswer {
+    /// The head of a stream, and the chain that produces its events.
+    Stream(Box<(Response<()>, RunningChain)>),
+    /// A complete error response of an engine.
     Failure(Response<Body>),
 }
 
 pub(super) fn need(call: &Call) -> Need {
-    let most = call.head.most_answer_tokens;
-    let answer = call.head.answer_hint.unwrap_or(most);
+    let max = call.head.most_answer_tokens;
+    let answer = call.head.answer_hint.unwrap_or(max);
     let ms = |time: Duration| time.as_secs_f64() * 1000.0;
     let aim = Aim {
         first_ms: Some(ms(call.route.objective)),
@@ -77,18 +77,23 @@
     }
 }
 
-/// Choose engines other than `avoid`.
-pub(super) fn choose(relay: &Relay, call: &Call, avoid: &[EngineKey]) -> Option<Pick> {
-    choose_with(relay, call, avoid, Limits::Enforced)
+/// Selects engines other than `avoid`.
+pub(super) fn select_engines(relay: &Relay, call: &Call, avoid: &[EngineKey]) -> Option<Selection> {
+    select_with(relay, call, avoid, Limits::Enforced)
 }
 
-/// Whether only rate limits keep engines other than `avoid` from running a request.
+/// Whether only rate limits prevent engines other than `avoid` from running a request.
 pub(super) fn would_serve(relay: &Relay, call: &Call, avoid: &[EngineKey]) -> bool {
     let has_limits = relay.fleet.borrow().stated_limits().next().is_some();
-    has_limits && choose_with(relay, call, avoid, Limits::Ignored).is_some()
+    has_limits && select_with(relay, call, avoid, Limits::Ignored).is_some()
 }
 
-fn choose_with(relay: &Relay, call: &Call, avoid: &[EngineKey], limits: Limits) -> Option<Pick> {
+fn select_with(
+    relay: &Relay,
+    call: &Call,
+    avoid: &[EngineKey],
+    limits: Limits,
+) -> Option<Selection> {
     let settings = relay.settings.borrow();
     let fleet = relay.fleet.borrow();
     let cx = Circumstance {
@@ -96,19 +101,19 @@
         ..relay.circumstance(&settings, avoid, call.draw)
     };
     let Some(model) = &call.service.model else {
-        let most = relay.most_connections(&call.service);
-        let found = select::instance(&fleet, &call.service_name, most, &cx)?;
-        return Some(Pick {
+        let max = relay.most_connections(&call.service);
+        let found = select::instance(&fleet, &call.service_name, max, &cx)?;
+        return Some(Selection {
             path: None,
             offer: admission::instance_offer(&found, relay.held(), call.route.objective),
             engines: vec![found.engine],
-            gap: FIRST_SLACK,
-            first: FIRST_SLACK,
+            gap: FIRST_EVENT_MARGIN,
+            first: FIRST_EVENT_MARGIN,
             repairs: 0,
         });
     };
     let found = select::path(&fleet, &call.service_name, model, need(call), &cx)?;
-    Some(Pick {
+    Some(Selection {
         offer: admission::path_offer(
             &found,
             relay.admission.booked(&call.service_name, relay.now()),
@@ -121,20 +126,20 @@
     })
 }
 
-/// Returns the time until engines that this box backs off from can serve the request.
-pub(super) fn back_off_left(relay: &Relay, call: &Call) -> Option<Duration> {
+/// Returns the time until the back-off of engines that can serve the request ends.
+pub(super) fn remaining_back_off(relay: &Relay, call: &Call) -> Option<Duration> {
     let service = &call.service_name;
     relay.back_off_left(service, call.draw, |fleet, cx| match &call.service.model {
         Some(model) => select::path(fleet, service, model, need(call), cx).is_some(),
         None => {
-            let most = relay.most_connections(&call.service);
-            select::instance(fleet, service, most, cx).is_some()
+            let max = relay.most_connections(&call.service);
+            select::instance(fleet, service, max, cx).is_some()
         }
     })
 }
 
-/// What keeps the engines from running a request, for the log.
-fn shortage(relay: &Relay, call: &Call, avoid: &[EngineKey]) -> Option<Shortage> {
+/// Returns what prevents the engines from running a request, for the log.
+fn capacity_shortfall(relay: &Relay, call: &Call, avoid: &[EngineKey]) -> Option<Shortage> {
     let model = call.service.model.as_ref()?;
     let settings = relay.settings.borrow();
     let fleet = relay.fleet.borrow();
@@ -143,15 +148,15 @@
     Some(found)
 }
 
-/// Tell in the log why a request is given up or a stream cut for want of a path.
-pub(super) fn log_shortage(relay: &Relay, call: &Call, avoid: &[EngineKey]) {
-    if let Some(lacks) = shortage(relay, call, avoid) {
+/// Logs why there is no path for a request that is given up or a stream that is cut off.
+pub(super) fn log_shortfall(relay: &Relay, call: &Call, avoid: &[EngineKey]) {
+    if let Some(lacks) = capacity_shortfall(relay, call, avoid) {
         log::info!(event = "no-path", id = &*call.head.id, lacks:% = lacks; "no failure domain can run the request");
     }
 }
 
-/// Whether the request may run once more, and there is a path without `dead`.
-pub(super) fn may_go_elsewhere(
+/// Whether the request may be sent once more, and there is a path without `dead`.
+pub(super) fn can_send_elsewhere(
     relay: &Relay,
     call: &Call,
     attempts: &Attempts,
@@ -162,87 +167,96 @@
     }
     let mut avoid = attempts.avoid.clone();
     avoid.extend_from_slice(dead);
-    choose(relay, call, &avoid).is_some()
+    select_engines(relay, call, &avoid).is_some()
 }
 
-/// Send the request to the engines picked, and wait for the head of the answer.
+/// Sends the request to the selected engines and waits for the head of the answer.
 pub(super) async fn send(
     relay: &Rc<Relay>,
     call: &Call,
-    mut pick: Pick,
+    mut selection: Selection,
     last: Option<u64>,
     attempts: &mut Attempts,
-) -> Result<Answered, Unanswered> {
-    let key = pick.engines[0];
-    attempts.begin(relay, key, record(relay, call, &pick));
+) -> Result<EngineAnswer, Unanswered> {
+    let key = selection.engines[0];
+    attempts.begin(relay, key, send_record(relay, call, &selection));
     let to = exchange::recipient(relay, key)?;
     let need = need(call);
-    let mut occupied = Occupied::new(relay, pick.engines.clone(), need.held(), need.prompt);
-    let pace = Pace::new(relay.now(), pick.first, pick.gap);
-    let answer = head(relay, call, &mut pick, &mut occupied, &to, last, attempts).await?;
-    let mut answered = judge(relay, call, answer, to, occupied, pace, attempts).await?;
-    if let Answered::Stream(answer) = &mut answered {
-        answer.1.follow(pick.path, last, pick.repairs);
+    let mut occupied = Occupied::new(relay, selection.engines.clone(), need.held(), need.prompt);
+    let timing = Timing::new(relay.now(), selection.first, selection.gap);
+    let answer = wait_for_head(
+        relay,
+        call,
+        &mut selection,
+        &mut occupied,
+        &to,
+        last,
+        attempts,
+    )
+    .await?;
+    let mut answered = evaluate_head(relay, call, answer, to, occupied, timing, attempts).await?;
+    if let EngineAnswer::Stream(answer) = &mut answered {
+        answer.1.set_path(selection.path, last, selection.repairs);
     }
     Ok(answered)
 }
 
-/// Wait for the head. While it is overdue, engines that are silent for all streams are looked at.
-async fn head(
+/// Waits for the head of the answer. While it is overdue, checks engines that are silent on all streams.
+async fn wait_for_head(
     relay: &Rc<Relay>,
     call: &Call,
-    pick: &mut Pick,
+    selection: &mut Selection,
     occupied: &mut Occupied,
     to: &Recipient,
     last: Option<u64>,
     attempts: &mut Attempts,
 ) -> Result<Answer, Unanswered> {
-    let (key, address, began) = (to.key, to.address, relay.now());
+    let (key, address, started_at) = (to.key, to.address, relay.now());
     let add = Addition {
         deadline: call.left(relay),
         target_run: &to.run.id,
         account: call.account.as_deref(),
         priority: call.priority,
-        path: pick.path.as_ref(),
+        path: selection.path.as_ref(),
         last_event: last,
     };
     let req = exchange::request(relay, call, &add);
-    let kept = match call.route.is_repeatable() {
+    let pooled = match call.route.is_repeatable() {
         true => relay.connections.take(address, relay.now()),
         false => None,
     };
-    let is_reused = kept.is_some();
+    let is_reused = pooled.is_some();
     let mut sending = std::pin::pin!(async {
-        match kept {
-            Some(kept) => target::send_again(kept, req).await,
+        match pooled {
+            Some(pooled) => target::send_again(pooled, req).await,
             None => target::send(address, req).await,
         }
     });
     let mut stopped = relay.stopped();
     let mut quarantined = std::pin::pin!(relay.until_quarantined(call, &mut stopped));
-    let patience_for = |first: Duration| first.mul_f64(stall::MOST_GAPS) + FIRST_SLACK;
-    let mut patience = patience_for(pick.first);
+    let first_wait = |first: Duration| first.mul_f64(stall::MOST_GAPS) + FIRST_EVENT_MARGIN;
+    let mut wait = first_wait(selection.first);
     let mut repair: Option<Repair> = None;
     loop {
-        let until = call.due.min(relay.now() + patience);
+        let until = call.due.min(relay.now() + wait);
         let sent = tokio::select! {
             biased;
             sent = tokio::time::timeout_at(relay.timer(until), &mut sending) => sent,
             () = &mut quarantined => {
-                let why = "engines ended under it elsewhere".to_owned();
+                let why = "request quarantined after engine crashes".to_owned();
                 return Err(Unanswered::Lost(why));
             }
-            told = repair::answered(&mut repair) => {
-                let silent_for = relay.now().since(began);
-                let outcome = repair.take().map(|repair| repair.judge(relay, call, to, told, silent_for));
+            answer = repair::wait_for_answer(&mut repair) => {
+                let silent_for = relay.now().since(started_at);
+                let outcome = repair.take().map(|repair| repair.finish(relay, call, to, answer, silent_for));
                 match outcome {
-                    Some(Outcome::Repaired(done)) => {
-                        patience = patience_for(done.choice.first);
-                        pick.follow(done, occupied);
+                    Some(Outcome::Repaired(completed)) => {
+                        wait = first_wait(completed.choice.first);
+                        selection.apply_repair(completed, occupied);
                     }
-                    Some(Outcome::Again(again)) => repair = Some(again),
-                    Some(Outcome::Failed(dead)) if may_go_elsewhere(relay, call, attempts, &dead) => {
-                        return Err(left_silent(attempts, dead));
+                    Some(Outcome::Retry(again)) => repair = Some(again),
+                    Some(Outcome::Failed(dead)) if can_send_elsewhere(relay, call, attempts, &dead) => {
+                        return Err(abandon_silent(attempts, dead));
                     }
                     Some(Outcome::Failed(_)) | None => {}
                 }
@@ -255,100 +269,103 @@
                 attempts.avoid.push(key);
                 return Err(exchange::not_connected(relay, key, &why));
             }
-            Ok(Err(SendError::Broken(why))) => return Err(failed(relay, key, attempts, why)),
+            Ok(Err(SendError::Broken(why))) => return Err(mark_failed(relay, key, attempts, why)),
             Ok(Err(SendError::Stale(why))) => return Err(Unanswered::Lost(why)),
             Err(_) if relay.now() >= call.due => return Err(Unanswered::Late),
             Err(_) if repair.is_some() => continue,
             Err(_) => {}
         }
-        let is_mute = relay.now().since(began) > MUTE_AFTER;
-        if is_reused && is_mute && may_go_elsewhere(relay, call, attempts, &[]) {
-            let why = "a kept connection says nothing".to_owned();
+        let is_silent = relay.now().since(started_at) > SILENT_CHAIN_TIMEOUT;
+        if is_reused && is_silent && can_send_elsewhere(relay, call, attempts, &[]) {
+            let why = "no answer over a reused connection".to_owned();
             return Err(Unanswered::Lost(why));
         }
-        let mut stuck = dead_of_silent(relay, &pick.engines, patience).await;
-        if !stuck.is_empty() && repair::may_repair(relay, call, pick.repairs, 0) {
-            let path = pick.path.as_ref();
+        let mut failed = find_dead_among_silent(relay, &selection.engines, wait).await;
+        if !failed.is_empty() && repair::may_repair(relay, call, selection.repairs, 0) {
+            let path = selection.path.as_ref();
             let events = last.unwrap_or(0);
             repair = path
-                .and_then(|path| Repair::begin(relay, call, attempts, to, path, events, &stuck));
+                .and_then(|path| Repair::start(relay, call, attempts, to, path, events, &failed));
             if repair.is_some() {
-                pick.repairs += 1;
+                selection.repairs += 1;
                 continue;
             }
         }
-        if stuck.is_empty() && is_mute {
-            let silent = relay.progress.borrow().silent_since(&pick.engines, began);
-            stuck = if silent.len() == pick.engines.len() {
+        if failed.is_empty() && is_silent {
+            let silent = relay
+                .progress
+                .borrow()
+                .silent_since(&selection.engines, started_at);
+            failed = if silent.len() == selection.engines.len() {
                 silent
             } else {
                 Vec::new()
             };
         }
-        if !stuck.is_empty() && may_go_elsewhere(relay, call, attempts, &stuck) {
-            return Err(left_silent(attempts, stuck));
+        if !failed.is_empty() && can_send_elsewhere(relay, call, attempts, &failed) {
+            return Err(abandon_silent(attempts, failed));
         }
-        patience = FIRST_SLACK;
+        wait = FIRST_EVENT_MARGIN;
     }
 }
 
-/// The request is left where it is, since these engines are silent.
-fn left_silent(attempts: &mut Attempts, silent: Vec<EngineKey>) -> Unanswered {
+/// Abandons a send because these engines are silent.
+fn abandon_silent(attempts: &mut Attempts, silent: Vec<EngineKey>) -> Unanswered {
     attempts.avoid.extend(silent);
-    Unanswered::Lost("no first event, and its engines are silent".to_owned())
+    Unanswered::Lost("no first event, and engines are silent".to_owned())
 }
 
-/// What the head of an answer says.
-async fn judge(
+/// Evaluates the head of an answer.
+async fn evaluate_head(
     relay: &Rc<Relay>,
     call: &Call,
     answer: Answer,
     from: Recipient,
     occupied: Occupied,
-    pace: Pace,
+    timing: Timing,
     attempts: &mut Attempts,
-) -> Result<Answered, Unanswered> {
+) -> Result<EngineAnswer, Unanswered> {
     let status = answer.response.status();
     let head = exchange::head_of(relay, call, &from, &answer.response);
     if exchange::proves_not_run(call, &head) {
-        return Err(not_run(relay, &occupied, &head, status, attempts).await);
+        return Err(handle_refusal(relay, &occupied, &head, status, attempts).await);
     }
     if let Some(why) = exchange::mistrust(call, &head, &answer.response) {
         return Err(match answer.is_reused {
             true => Unanswered::Lost(why.to_owned()),
-            false => failed(relay, from.key, attempts, why.to_owned()),
+            false => mark_failed(relay, from.key, attempts, why.to_owned()),
         });
     }
     let (mut parts, body) = answer.response.into_parts();
     parts.headers = relay.wire.backward(&parts.headers);
     if status != StatusCode::OK {
-        return failure(parts, body).await;
+        return collect_failure(parts, body).await;
     }
     parts.headers.remove(CONTENT_LENGTH);
-    let running = Running::new(body, answer.connection, occupied, from, pace, relay);
-    Ok(Answered::Stream(Box::new((
+    let running = RunningChain::new(body, answer.connection, occupied, from, timing, relay);
+    Ok(EngineAnswer::Stream(Box::new((
         Response::from_parts(parts, ()),
         running,
     ))))
 }
 
-/// The first engine has failed, and the request may have run.
-fn failed(relay: &Relay, key: EngineKey, attempts: &mut Attempts, why: String) -> Unanswered {
+/// Records a failure of the first engine after which the request may have run.
+fn mark_failed(relay: &Relay, key: EngineKey, attempts: &mut Attempts, why: String) -> Unanswered {
     relay.target_failed(key, &why);
     attempts.avoid.push(key);
     Unanswered::Lost(why)
 }
 
-/// The engine that is to blame is left alone: until its entry changes if it does not hold what that says,
-/// else for a moment, and it is asked whether it is there at all.
-async fn not_run(
+/// Handles a refusal. The blamed engine is excluded until its entry changes if it contradicted the entry; otherwise it gets a
+/// cooldown and is probed.
+async fn handle_refusal(
     relay: &Relay,
     occupied: &Occupied,
     head: &AnswerHead,
     status: StatusCode,
     attempts: &mut Attempts,
 ) -> Unanswered {
-    let blamed = blamed(relay, occupied.engines(), head);
+    let blamed = blamed_engine(relay, occupied.engines(), head);
     attempts.avoid.push(blamed);
     if head.misdirected {
         relay.target_contradicted(blamed);
@@ -362,28 +379,28 @@
     Unanswered::NotRun(NeverStarted::TargetSaidSo, why)
 }
 
-/// The engine of a path that is to blame for a refusal. Another run may have its address by now, so the
-/// address alone does not tell.
-fn blamed(relay: &Relay, engines: &[EngineKey], head: &AnswerHead) -> EngineKey {
-    let is_at_fault = |key: &&EngineKey| relay.target_address(**key) == head.at_fault;
-    let found = engines.iter().find(is_at_fault);
+/// Returns the engine of a path that is to blame for a refusal. Only the engines of the path are searched for the address, since
+/// another run may be using it by now.
+fn blamed_engine(relay: &Relay, engines: &[EngineKey], head: &AnswerHead) -> EngineKey {
+    let is_blamed = |key: &&EngineKey| relay.target_address(**key) == head.at_fault;
+    let found = engines.iter().find(is_blamed);
     found.copied().unwrap_or(engines[0])
 }
 
-/// A failure that an engine answered, whole.
-async fn failure(parts: Parts, body: Incoming) -> Result<Answered, Unanswered> {
+/// Reads the complete error response of an engine.
+async fn collect_failure(parts: Parts, body: Incoming) -> Result<EngineAnswer, Unanswered> {
     let held = body.collect().await;
     let held = held.map_err(|err| Unanswered::Lost(err.to_string()))?;
     let whole = answer::whole(held.to_bytes());
-    Ok(Answered::Failure(Response::from_parts(parts, whole)))
+    Ok(EngineAnswer::Failure(Response::from_parts(parts, whole)))
 }
 
-fn record(relay: &Relay, call: &Call, pick: &Pick) -> SendRecord {
+fn send_record(relay: &Relay, call: &Call, selection: &Selection) -> SendRecord {
     let fleet = relay.fleet.borrow();
-    let first = fleet.get(pick.engines[0]);
-    let names = pick.engines.iter().enumerate().map(|(at, key)| {
+    let first = fleet.get(selection.engines[0]);
+    let names = selection.engines.iter().enumerate().map(|(at, key)| {
         let id = fleet.get(*key).map_or("gone", |engine| &engine.entry.id);
-        match pick.path.as_ref().map(|path| &path.parts()[at].layers) {
+        match selection.path.as_ref().map(|path| &path.parts()[at].layers) {
             Some(layers) => format!("{id}={}-{}", layers.start, layers.end),
             None => id.to_owned(),
         }
@@ -393,6 +410,6 @@
         targets: names.collect::<Vec<String>>().join(","),
         running: first.map_or(0, |engine| engine.running),
         remote_running: first.map_or(0.0, |engine| engine.remote_running),
-        expected_first: pick.first,
+        expected_first: selection.first,
     }
 }
