--- a/reachtally-protocol/src/lib.rs
+++ b/reachtally-protocol/src/lib.rs
@@ -23,6 +23,9 @@
 mod generated {
     pub mod peer;
     pub mod relay;
+
+    // Aliases that set these messages apart from the types that they encode.
+    pub use relay::{Ask as AskMessage, News as NewsMessage};
 }
 
 /// Maximum length of an accepted frame, in bytes. A complete configuration must fit.
--- a/reachtally-protocol/src/news.rs
+++ b/reachtally-protocol/src/news.rs
@@ -12,7 +12,7 @@
 
 use crate::FRAME_MAX;
 use crate::codec::Error;
-use crate::generated::relay as pb;
+use crate::generated::{self, relay as pb};
 use crate::packed;
 
 /// Requests updates relative to the state that the requesting box holds.
@@ -113,7 +113,7 @@
 impl Ask {
     /// Encodes the content of a frame.
     pub fn encode(&self) -> Bytes {
-        let message = pb::Ask {
+        let message = generated::AskMessage {
             config_version: self.config_version,
             targets_run: self.targets.run,
             targets_next: self.targets.next,
@@ -130,7 +130,7 @@
     /// # Errors
     /// [`Error::Decode`].
     pub fn decode(bytes: &[u8]) -> Result<Self, Error> {
-        let message = pb::Ask::decode(bytes).map_err(Error::Decode)?;
+        let message = generated::AskMessage::decode(bytes).map_err(Error::Decode)?;
         Ok(Ask {
             config_version: message.config_version,
             targets: Cursor {
@@ -146,7 +146,7 @@
 impl News {
     /// Encodes the content of a frame.
     pub fn encode(&self) -> Bytes {
-        let message = pb::News {
+        let message = generated::NewsMessage {
             confirmed_age_ms: self.confirmed_age.map(|age| age.as_millis() as u64),
             config: self.config.clone(),
             targets_age_ms: self.targets_age.map(|age| age.as_millis() as u64),
@@ -169,7 +169,7 @@
     /// # Errors
     /// [`Error::Decode`], or [`Error::Missing`] for an invalid address.
     pub fn decode(bytes: Bytes) -> Result<Self, Error> {
-        let message = pb::News::decode(bytes).map_err(Error::Decode)?;
+        let message = generated::NewsMessage::decode(bytes).map_err(Error::Decode)?;
         let members: Result<Vec<Member>, Error> =
             message.members.into_iter().map(member_from_wire).collect();
         Ok(News {
--- a/reachtally-relay/src/share/answer.rs
+++ b/reachtally-relay/src/share/answer.rs
@@ -16,7 +16,7 @@
 
 use crate::accept;
 use crate::relay::Relay;
-use crate::share::{LONG_POLL_TIMEOUT, is_sound};
+use crate::share::{LONG_POLL_TIMEOUT, is_fresh};
 
 /// Time without a request after which a connection is closed.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(10);
@@ -62,10 +62,10 @@
 /// has just taken over as store reader needs a moment until its state is fresh.
 async fn answer(relay: &Relay, request: &Ask, run: Incarnation) -> News {
     let mut changes = relay.news();
-    let update = async {
+    let update_ready = async {
         loop {
-            // Covers also a box that has just read its first configuration but no targets yet, and so can't be a source.
-            while relay.configuration.table().is_some() && !is_sound(relay) {
+            // This also covers a box that has read its first configuration but no targets yet, and so can't be a source.
+            while relay.configuration.table().is_some() && !is_fresh(relay) {
                 sleep(FRESHNESS_POLL_INTERVAL).await;
             }
             if has_update(relay, request, run) || changes.changed().await.is_err() {
@@ -74,7 +74,7 @@
         }
     };
     // On a timeout, the answer states that nothing changed.
-    let _ = timeout(LONG_POLL_TIMEOUT, update).await;
+    let _ = timeout(LONG_POLL_TIMEOUT, update_ready).await;
     current_update(relay, request, run)
 }
 
--- a/reachtally-relay/src/share/ask.rs
+++ b/reachtally-relay/src/share/ask.rs
@@ -15,7 +15,7 @@
 use tokio_util::codec::Framed;
 
 use crate::relay::Relay;
-use crate::share::{ANSWER_TIMEOUT_MARGIN, LONG_POLL_TIMEOUT, Link, is_sound};
+use crate::share::{ANSWER_TIMEOUT_MARGIN, LONG_POLL_TIMEOUT, Link, is_fresh};
 use crate::target;
 
 /// Time after the start during which a source may lack a configuration, since boxes may start before the first one is published.
@@ -121,8 +121,8 @@
 /// Waits for the group membership unless seeds are configured.
 async fn wait_for_group(relay: &Relay) {
     let started_at = relay.now();
-    let is_alone = relay.settings.borrow().seeds.is_empty();
-    while is_alone
+    let has_no_seeds = relay.settings.borrow().seeds.is_empty();
+    while has_no_seeds
         && relay.members.borrow().is_empty()
         && relay.now().since(started_at) < GROUP_TIMEOUT
     {
@@ -139,10 +139,10 @@
     if seeds.is_empty() || seeds.contains(&ip) {
         return None;
     }
-    let accepting = seeds
+    let connections = seeds
         .into_iter()
         .map(|seed| Box::pin(wait_for_connection(SocketAddr::new(seed, port))));
-    match timeout(SEED_TIMEOUT, futures::future::select_all(accepting)).await {
+    match timeout(SEED_TIMEOUT, futures::future::select_all(connections)).await {
         Ok((first, ..)) => Some(first),
         Err(_) => {
             relay.set_direct(true);
@@ -219,7 +219,7 @@
         avoid: &silent,
         stale: &stale,
         is_young: is_young(relay),
-        is_sound: is_sound(relay),
+        is_sound: is_fresh(relay),
     };
     relay.is_reader.set(view.is_first());
     view.origin()
@@ -317,11 +317,11 @@
 /// published.
 fn ages(relay: &Relay, update: &News, requested_at: Instant) -> Result<Option<Ages>, SourceError> {
     let Some(configuration) = update.confirmed_age else {
-        let patience = match relay.members.borrow().is_empty() {
+        let grace_period = match relay.members.borrow().is_empty() {
             true => SEED_CONFIGURATION_TIMEOUT,
             false => FIRST_CONFIGURATION_TIMEOUT,
         };
-        if requested_at.elapsed() > patience {
+        if requested_at.elapsed() > grace_period {
             let why = "source has no configuration".to_owned();
             return Err(SourceError::Stale(why));
         }
--- a/reachtally-relay/src/share/mod.rs
+++ b/reachtally-relay/src/share/mod.rs
@@ -36,7 +36,7 @@
 }
 
 /// Whether the state of this box is fresh enough to be sent to other boxes.
-fn is_sound(relay: &Relay) -> bool {
+fn is_fresh(relay: &Relay) -> bool {
     let now = relay.now();
     let rhythm = relay.rhythm();
     let age = relay.configuration.age(now);
--- a/reachtally-relay/src/stream/chain.rs
+++ b/reachtally-relay/src/stream/chain.rs
@@ -42,12 +42,12 @@
     /// Estimated gap between events: the expected one, updated by the observed ones.
     gaps: Gaps,
     timing: Timing,
-    held_up: HeldUp,
+    backpressure: HeldUp,
     /// Time of the last event, or when waiting for the first one started.
     waiting_since: Instant,
     /// When to check the engines if no event arrives.
     check_at: Instant,
-    /// Targets that restarted or were found dead.
+    /// The targets that restarted, or were found dead or unreachable, most recently.
     runs_ended: watch::Receiver<Vec<EngineKey>>,
     /// Changes when a request is quarantined.
     quarantine_changes: watch::Receiver<u64>,
@@ -64,7 +64,7 @@
 /// Expected and observed timing of a chain.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct Timing {
-    pub began: Instant,
+    pub started_at: Instant,
     expected_first: Duration,
     expected_gap: Duration,
     first: Option<Duration>,
@@ -75,9 +75,9 @@
 }
 
 impl Timing {
-    pub fn new(began: Instant, expected_first: Duration, expected_gap: Duration) -> Self {
+    pub fn new(started_at: Instant, expected_first: Duration, expected_gap: Duration) -> Self {
         Timing {
-            began,
+            started_at,
             expected_first,
             expected_gap,
             first: None,
@@ -90,7 +90,7 @@
     fn record_event(&mut self, now: Instant, since: Instant) {
         let since = self.repair_pause_from.take().unwrap_or(since);
         match self.first {
-            None => self.first = Some(now.since(self.began)),
+            None => self.first = Some(now.since(self.started_at)),
             Some(_) => self.longest_gap = self.longest_gap.max(now.since(since)),
         }
         self.events += 1;
@@ -99,7 +99,7 @@
     /// Records the timing of a complete stream in metrics and the log.
     fn record(&self, relay: &Relay, call: &Call, engines: &[EngineKey]) {
         let first = self.first.unwrap_or_default();
-        let took = relay.now().since(self.began);
+        let took = relay.now().since(self.started_at);
         relay.note_held(took);
         relay.times.first_event.observe(first.as_secs_f64());
         relay
@@ -161,7 +161,7 @@
             first,
             gaps: Gaps::expected(timing.expected_gap),
             timing,
-            held_up: HeldUp::default(),
+            backpressure: HeldUp::default(),
             waiting_since: now,
             check_at: now,
             runs_ended: relay.runs_ended(),
@@ -211,7 +211,7 @@
 
     /// Records that reading was paused from `from` until `now`, since the caller took nothing.
     pub fn paused(&mut self, from: Instant, now: Instant) {
-        if self.held_up.paused(now.since(from)) {
+        if self.backpressure.paused(now.since(from)) {
             self.wait_from(now);
         }
     }
@@ -237,7 +237,7 @@
                 }
                 // The sender lives as long as the relay. An engine that restarted sends no more events of this stream.
                 Ok(()) = self.runs_ended.changed() => {
-                    self.held_up.waited(relay.now().since(started_at));
+                    self.backpressure.waited(relay.now().since(started_at));
                     self.leave_ended_runs(relay, call, attempts)?;
                     continue;
                 }
@@ -245,12 +245,12 @@
                     return Err(StopReason::Quarantined);
                 }
                 () = tokio::time::sleep_until(until) => {
-                    self.held_up.waited(relay.now().since(started_at));
+                    self.backpressure.waited(relay.now().since(started_at));
                     self.check_overdue(relay, call, attempts).await?;
                     continue;
                 }
             };
-            self.held_up.waited(relay.now().since(started_at));
+            self.backpressure.waited(relay.now().since(started_at));
             let Some(frame) = frame else {
                 return Err(self.finish(relay, call, splitter));
             };
@@ -270,7 +270,7 @@
     }
 
     fn interrupted(&self, why: String) -> StopReason {
-        match self.held_up.is_unread() {
+        match self.backpressure.is_unread() {
             true => StopReason::InterruptedUnread(why),
             false => StopReason::Interrupted(why),
         }
@@ -295,7 +295,7 @@
         if lost.is_empty() || self.start_repair(relay, call, attempts, &lost) {
             return Ok(());
         }
-        if send::can_send_elsewhere(relay, call, attempts, &lost) {
+        if send::can_reroute(relay, call, attempts, &lost) {
             return Err(StopReason::Dead(lost));
         }
         Ok(())
@@ -341,18 +341,18 @@
                 self.repair = Some(repair);
                 self.check_at = now + repair::MAX_DURATION;
             }
-            Outcome::Repaired(completed) => {
+            Outcome::Repaired(accepted) => {
                 self.timing
                     .repair_pause_from
                     .get_or_insert(self.waiting_since);
                 self.occupied
-                    .move_to(completed.choice.path.engines(), completed.read);
-                self.path = Some(completed.choice.path);
+                    .move_to(accepted.choice.path.engines(), accepted.read);
+                self.path = Some(accepted.choice.path);
                 self.wait_from(now);
-                self.check_at = self.check_at + completed.choice.first;
+                self.check_at = self.check_at + accepted.choice.first;
             }
             Outcome::Failed(dead) => {
-                if send::can_send_elsewhere(relay, call, attempts, &dead) {
+                if send::can_reroute(relay, call, attempts, &dead) {
                     return Err(StopReason::Dead(dead));
                 }
                 self.check_at = now + self.gaps.overdue_after();
@@ -382,7 +382,7 @@
         if !dead.is_empty() && self.start_repair(relay, call, attempts, &dead) {
             return Ok(());
         }
-        if !dead.is_empty() && send::can_send_elsewhere(relay, call, attempts, &dead) {
+        if !dead.is_empty() && send::can_reroute(relay, call, attempts, &dead) {
             return Err(StopReason::Dead(dead));
         }
         let now = relay.now();
@@ -402,7 +402,7 @@
         self.waiting_since = now;
         self.check_at = now + self.gaps.overdue_after();
         // Data that accumulated while the caller did not read shows neither the speed of the engines nor whether they still run.
-        if self.held_up.is_behind() {
+        if self.backpressure.is_behind() {
             return;
         }
         relay.progress.borrow_mut().note(self.engines(), now);
--- a/reachtally-relay/src/stream/mod.rs
+++ b/reachtally-relay/src/stream/mod.rs
@@ -34,7 +34,7 @@
 use chain::{RunningChain, StopReason};
 use send::EngineAnswer;
 
-/// Interval at which a path is searched for while there is none.
+/// Interval between attempts to find another path for an interrupted stream.
 const RESUME_RETRY_INTERVAL: Duration = Duration::from_millis(40);
 /// Time for which an interrupted stream waits for another path. Callers give up after two seconds.
 const RESUME_TIMEOUT: Duration = Duration::from_millis(1500);
@@ -223,7 +223,7 @@
         }
         StopReason::Interrupted(why) | StopReason::InterruptedUnread(why) => {
             log::info!(event = "broke", id = &*call.head.id, why = &*why, last:? = splitter.last(), events = running.events(), targets = &*running.engine_names(relay), fingerprint:% = call.fingerprint(); "stream interrupted");
-            record_crash(relay, call, running).await;
+            record_suspected_crash(relay, call, running).await;
             let dead = relay.find_dead(running.engines()).await;
             match dead.is_empty() {
                 true => attempts.avoid.extend(running.engines().first()),
@@ -243,7 +243,7 @@
         StopReason::Dead(engines) => {
             log::info!(event = "stage-dead", id = &*call.head.id, engines = engines.len(), last:? = splitter.last(); "engines of a stream are dead");
             if engines.first() == running.engines().first() {
-                record_crash(relay, call, running).await;
+                record_suspected_crash(relay, call, running).await;
             }
             attempts.avoid.extend(engines);
             queue.wait_until_consumed().await;
@@ -259,7 +259,7 @@
 /// Records that the first engine of a chain broke off or died. Only a chain that had started the request and yielded no event
 /// counts, since the request may be the cause. Streams that were further on are ignored, since a hundred of them break with each
 /// engine.
-async fn record_crash(relay: &Relay, call: &Call, running: &RunningChain) {
+async fn record_suspected_crash(relay: &Relay, call: &Call, running: &RunningChain) {
     if running.events() == 0 {
         relay
             .target_broke_off(call, running.first(), Progress::Begun)
--- a/reachtally-relay/src/stream/repair.rs
+++ b/reachtally-relay/src/stream/repair.rs
@@ -47,7 +47,7 @@
 }
 
 /// A repair that the first engine has accepted.
-pub(super) struct CompletedRepair {
+pub(super) struct AcceptedRepair {
     /// The new path.
     pub choice: Choice,
     /// Prompt tokens that new engines process.
@@ -57,7 +57,7 @@
 /// The outcome of an order.
 pub(super) enum Outcome {
     /// The stream continues over the new path.
-    Repaired(CompletedRepair),
+    Repaired(AcceptedRepair),
     /// Another path was ordered.
     Retry(Repair),
     /// The path is unchanged, and these engines of it are dead.
@@ -127,7 +127,7 @@
             relay.count(|tally| tally.streams_repaired += 1);
             let targets = engine_names(relay, &self.choice.path.engines());
             log::info!(event = "repaired", id = id, engines = self.dead.len(), silent_ms = silent_ms, answer:? = answer, expected_ms = self.choice.first.as_millis() as u64, targets = &*targets; "the path of the stream was repaired");
-            return Outcome::Repaired(CompletedRepair {
+            return Outcome::Repaired(AcceptedRepair {
                 choice: self.choice,
                 read: self.need.prompt,
             });
--- a/reachtally-relay/src/stream/send.rs
+++ b/reachtally-relay/src/stream/send.rs
@@ -22,7 +22,7 @@
 use crate::relay::Relay;
 use crate::serve::Call;
 use crate::stream::chain::{FIRST_EVENT_MARGIN, RunningChain, Timing, find_dead_among_silent};
-use crate::stream::repair::{self, CompletedRepair, Outcome, Repair};
+use crate::stream::repair::{self, AcceptedRepair, Outcome, Repair};
 use crate::target::{self, Answer, SendError};
 use crate::wire::{Addition, AnswerHead};
 
@@ -46,10 +46,10 @@
 
 impl Selection {
     /// Switches to a repaired path.
-    fn apply_repair(&mut self, completed: CompletedRepair, occupied: &mut Occupied) {
-        let path = completed.choice.path;
+    fn apply_repair(&mut self, accepted: AcceptedRepair, occupied: &mut Occupied) {
+        let path = accepted.choice.path;
         self.engines = path.engines();
-        occupied.move_to(path.engines(), completed.read);
+        occupied.move_to(path.engines(), accepted.read);
         self.path = Some(path);
     }
 }
@@ -156,7 +156,7 @@
 }
 
 /// Whether the request may be sent once more, and there is a path without `dead`.
-pub(super) fn can_send_elsewhere(
+pub(super) fn can_reroute(
     relay: &Relay,
     call: &Call,
     attempts: &Attempts,
@@ -250,12 +250,12 @@
                 let silent_for = relay.now().since(started_at);
                 let outcome = repair.take().map(|repair| repair.finish(relay, call, to, answer, silent_for));
                 match outcome {
-                    Some(Outcome::Repaired(completed)) => {
-                        wait = first_wait(completed.choice.first);
-                        selection.apply_repair(completed, occupied);
+                    Some(Outcome::Repaired(accepted)) => {
+                        wait = first_wait(accepted.choice.first);
+                        selection.apply_repair(accepted, occupied);
                     }
                     Some(Outcome::Retry(again)) => repair = Some(again),
-                    Some(Outcome::Failed(dead)) if can_send_elsewhere(relay, call, attempts, &dead) => {
+                    Some(Outcome::Failed(dead)) if can_reroute(relay, call, attempts, &dead) => {
                         return Err(abandon_silent(attempts, dead));
                     }
                     Some(Outcome::Failed(_)) | None => {}
@@ -276,7 +276,7 @@
             Err(_) => {}
         }
         let is_silent = relay.now().since(started_at) > SILENT_CHAIN_TIMEOUT;
-        if is_reused && is_silent && can_send_elsewhere(relay, call, attempts, &[]) {
+        if is_reused && is_silent && can_reroute(relay, call, attempts, &[]) {
             let why = "no answer over a reused connection".to_owned();
             return Err(Unanswered::Lost(why));
         }
@@ -302,7 +302,7 @@
                 Vec::new()
             };
         }
-        if !failed.is_empty() && can_send_elsewhere(relay, call, attempts, &failed) {
+        if !failed.is_empty() && can_reroute(relay, call, attempts, &failed) {
             return Err(abandon_silent(attempts, failed));
         }
         wait = FIRST_EVENT_MARGIN;
