--- a/reachtally-relay/src/targets/presence.rs
+++ b/reachtally-relay/src/targets/presence.rs
@@ -24,7 +24,7 @@
 const MAX_PROBED: usize = 16;
 
 /// What is known about a target without a probe.
-enum Presence {
+enum Liveness {
     Alive,
     Dead,
     /// The target has to be probed at this address.
@@ -33,7 +33,7 @@
 
 /// The result of a check of several targets.
 #[derive(Debug, Default)]
-pub(super) struct Checked {
+pub(super) struct CheckResult {
     /// Targets that do not accept connections.
     pub dead: Vec<EngineKey>,
     /// The subset of `dead` that was found by probes of this check.
@@ -124,15 +124,15 @@
     }
 
     /// Checks `engines`, and probes those whose state is unknown.
-    pub(super) async fn check(&self, engines: &[EngineKey]) -> Checked {
+    pub(super) async fn check(&self, engines: &[EngineKey]) -> CheckResult {
         let now = self.now();
-        let mut checked = Checked::default();
+        let mut checked = CheckResult::default();
         let mut unknown = Vec::new();
         for key in engines {
-            match self.presence(*key, now) {
-                Presence::Dead => checked.dead.push(*key),
-                Presence::Alive => checked.is_answered = true,
-                Presence::Unknown(address) => unknown.push((*key, address)),
+            match self.known_liveness(*key, now) {
+                Liveness::Dead => checked.dead.push(*key),
+                Liveness::Alive => checked.is_answered = true,
+                Liveness::Unknown(address) => unknown.push((*key, address)),
             }
         }
         let is_refused = Cell::new(false);
@@ -153,18 +153,18 @@
     }
 
     /// Returns what is known about a target without a probe.
-    fn presence(&self, key: EngineKey, now: Instant) -> Presence {
+    fn known_liveness(&self, key: EngineKey, now: Instant) -> Liveness {
         let fleet = self.fleet.borrow();
         let Some(engine) = fleet.get(key) else {
-            return Presence::Dead;
+            return Liveness::Dead;
         };
         let is_recent = |at: Instant| now.since(at) < CHECK_INTERVAL;
         if engine.health.is_dead() {
-            return Presence::Dead;
+            return Liveness::Dead;
         }
         match engine.health.alive_at().is_some_and(is_recent) {
-            true => Presence::Alive,
-            false => Presence::Unknown(engine.entry.address),
+            true => Liveness::Alive,
+            false => Liveness::Unknown(engine.entry.address),
         }
     }
 
