--- a/reachtally-core/src/forward/placement/evaluate/fill.rs
+++ b/reachtally-core/src/forward/placement/evaluate/fill.rs
@@ -3,7 +3,7 @@
 use crate::forward::cost::{LayerModel, WAIT_FACTOR};
 use crate::forward::path::MOST_PARTS;
 use crate::forward::placement::Host;
-use crate::forward::select::{Aim, FAR_HOP_MS, HOP_MS};
+use crate::forward::select::{Aim, HOP_MS, REMOTE_HOP_MS};
 
 /// Bounds on the requests of an engine that are tried, in parts of those for which first engines have places.
 const BOUNDS: [f64; 8] = [2.0, 1.4, 1.0, 0.7, 0.5, 0.35, 0.25, 0.15];
@@ -154,7 +154,10 @@
         }
         if self.domains.len() > 1 {
             let engines: Vec<usize> = numbers.collect();
-            all.add(Some(self.better(&engines, FAR_HOP_MS, states)), Vec::new());
+            all.add(
+                Some(self.better(&engines, REMOTE_HOP_MS, states)),
+                Vec::new(),
+            );
         }
         all
     }
--- a/reachtally-core/src/forward/select/back_off.rs
+++ b/reachtally-core/src/forward/select/back_off.rs
@@ -1,15 +1,16 @@
-//! When targets that this box backs off from can serve again.
+//! When targets in back-off become available again.
 
 use std::collections::BTreeSet;
 
 use crate::forward::fleet::Fleet;
 use crate::time::Instant;
 
-/// Most ends of back-off that are considered; each may cost a search over all engines, for a request that is refused.
-const MOST_LOOKS: usize = 8;
+/// Maximum number of back-off ends that are checked. Each check may search all engines, only to
+/// compute the retry time of a refused request.
+const MAX_CHECKS: usize = 8;
 
-/// Returns the first end of a back-off at which a request for `service` can be served, as far as is known: `can_serve` tells it for
-/// a time. `None` if back-off is not what keeps it from being served.
+/// Returns the earliest end of a back-off at which a request for `service` can be served, according
+/// to `can_serve`. Returns `None` if the request is not blocked by back-off.
 pub fn served_after_back_off(
     fleet: &Fleet,
     service: &str,
@@ -23,6 +24,6 @@
     if ends.is_empty() || can_serve(now) {
         return None;
     }
-    let mut soonest = ends.into_iter().take(MOST_LOOKS);
+    let mut soonest = ends.into_iter().take(MAX_CHECKS);
     soonest.find(|end| can_serve(*end))
 }
--- a/reachtally-core/src/forward/select/mod.rs
+++ b/reachtally-core/src/forward/select/mod.rs
@@ -1,4 +1,5 @@
-//! Which engines or which instance a request goes to.
+//! Selects the engines of a layered model, or the instance of a plain service, that serve a
+//! request.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -19,137 +20,145 @@
 pub use repair::repair;
 pub use shortage::{Shortage, shortage};
 
-use candidate::{Candidate, chance};
-use judge::{best, is_in_time};
-use ways::Found;
+use candidate::{Candidate, unit_hash};
+use judge::{best_path, meets_objectives_with_margin};
+use ways::FoundPath;
 
-/// Time that a token takes from one engine to the next within a failure domain, in ms. Links there
-/// take under a millisecond, and the engine's queue adds as much again.
+/// Latency that a hop between engines of the same failure domain adds to a token, in ms. Links
+/// there take less than a millisecond, and queueing at the engine adds as much again.
 pub(super) const HOP_MS: f64 = 0.5;
-/// Time that a token takes more between failure domains, in ms.
-pub(super) const FAR_HOP_MS: f64 = 2.0;
-/// What another failure domain's chain must be cheaper by, so that requests stay at home.
-const HOME_BONUS: f64 = 0.9;
-/// Part of the room of the engines of a path at home up to which other failure domains are not looked at: home then bears four times
-/// its load.
-const HOME_ROOM: f64 = 0.25;
-/// Equally loaded instances of a plain service at home from which on requests stay there. Boxes that believe the same would meet at
-/// fewer.
-const HOME_INSTANCES: usize = 4;
-/// Part of the engines that a request considers first, drawn for each request. What other boxes have sent since
-/// the last report is not known, and boxes with the same knowledge would all fill the cheapest chain.
-const DRAWN_PART: f64 = 0.5;
-/// Part of an engine's room from which it may be full by now; drawn engines beyond it are used only where none has room.
-const MAY_BE_FULL: f64 = 0.65;
-/// Makes the draw of the engines independent of the chance in their price.
-const DRAWN_SALT: u64 = 0xA5A5_5A5A_C3C3_3C3C;
+/// Latency that a hop between failure domains adds to a token, in ms.
+pub(super) const REMOTE_HOP_MS: f64 = 2.0;
+/// Factor on the cost of chains in the local failure domain. A remote chain must be cheaper than
+/// that to be preferred, so that requests stay local.
+const LOCAL_COST_FACTOR: f64 = 0.9;
+/// Utilization of a local path, in parts of its engines' KV capacity, below which other failure
+/// domains are not searched. The local domain then has room for four times its load.
+const MAX_LOCAL_UTILIZATION: f64 = 0.25;
+/// Number of equally loaded local instances of a plain service from which requests stay local. With
+/// fewer, boxes that have the same view of the loads would pile up on the same instances.
+const MIN_LOCAL_INSTANCES: usize = 4;
+/// Fraction of the engines that a request considers first, sampled per request. A box does not know
+/// what other boxes have sent since their last report, and boxes with the same view would all fill
+/// the cheapest chain.
+const SAMPLE_FRACTION: f64 = 0.5;
+/// Utilization from which an engine may be full by now. Sampled engines above it are used only if
+/// no engine is below it.
+const NEARLY_FULL: f64 = 0.65;
+/// Decorrelates the sampling of engines from the jitter of their prices.
+const SAMPLE_SALT: u64 = 0xA5A5_5A5A_C3C3_3C3C;
 
-/// Times that an answer should keep to, in ms.
+/// Latency objectives of an answer, in ms.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
 pub struct Aim {
-    /// Until its first event.
+    /// Time to the first event.
     pub first_ms: Option<f64>,
-    /// Between two events.
+    /// Time between two events.
     pub gap_ms: Option<f64>,
 }
 
-/// What a request needs.
+/// Resource requirements and latency objectives of a request.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Need {
-    /// Tokens of its prompt.
+    /// Prompt tokens.
     pub prompt: f64,
-    /// Tokens that its answer will probably have.
+    /// Expected answer tokens.
     pub answer: f64,
-    /// What its answer should keep to.
+    /// Latency objectives of its answer.
     pub aim: Aim,
 }
 
 impl Need {
-    /// KV tokens that it holds on average while it runs: its answer grows from nothing. Many requests that
-    /// are at different points of their answers hold the sum of this, not of their ends.
+    /// Mean number of KV tokens that the request occupies while it runs, since its answer grows
+    /// from zero. Many requests at different points of their answers occupy the sum of these means,
+    /// not of their final sizes.
     pub fn held(&self) -> f64 {
         self.prompt + self.answer / 2.0
     }
 }
 
-/// Whether a choice heeds the rate limits that targets state.
+/// Whether selection respects the rate limits that targets announce.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Limits {
-    /// Targets with a limit are used only with a permit.
+    /// A target with a rate limit is used only with a permit.
     Enforced,
-    /// A permit is taken to be there.
+    /// Permits are assumed to be available.
     Ignored,
 }
 
-/// Inputs of a choice beside the fleet.
+/// Inputs of a selection other than the fleet.
 #[derive(Debug, Clone, Copy)]
 pub struct Circumstance<'a> {
-    /// The time.
+    /// The current time.
     pub now: Instant,
     /// The failure domain of this box.
     pub home: &'a str,
-    /// Engines that must not take part.
+    /// Engines to exclude.
     pub avoid: &'a [EngineKey],
-    /// How long requests have lately run.
+    /// Mean duration of recent requests.
     pub held: Duration,
-    /// Boxes that choose, this one included.
+    /// Number of boxes that select engines, including this one.
     pub boxes: u32,
-    /// Load of all boxes in parts of the known load: above 1 on a box to which not all others are known yet. Those are assumed
-    /// to have the same load.
+    /// Ratio of the estimated load of all boxes to the load reported so far. It exceeds 1 while
+    /// some boxes have not reported yet; those are assumed to have the same load as the others.
     pub unheard: f64,
-    /// A well-spread number of the request, so that boxes with the same knowledge choose differently.
+    /// Uniformly distributed number sampled for the request, so that boxes with the same view choose
+    /// differently.
     pub draw: u64,
-    /// Whether rate limits count.
+    /// Whether rate limits apply.
     pub limits: Limits,
 }
 
 impl Circumstance<'_> {
-    /// Whether back-off or a rate limit keeps this box from sending to a target.
-    fn is_kept_from(&self, engine: &Engine) -> bool {
+    /// Whether back-off or a rate limit prevents this box from sending to a target.
+    fn is_send_blocked(&self, engine: &Engine) -> bool {
         engine.notice.is_backing_off(self.now) || self.lacks_permit(engine)
     }
 
-    /// Whether a rate limit keeps this box from sending to a target.
+    /// Whether a rate limit prevents this box from sending to a target.
     fn lacks_permit(&self, engine: &Engine) -> bool {
         self.limits == Limits::Enforced && engine.lacks_permit(self.now)
     }
 }
 
-/// A path and what is expected of it.
+/// A path with its expected latency and utilization.
 #[derive(Debug, Clone)]
 pub struct Choice {
-    /// The path.
+    /// The selected path.
     pub path: Path,
-    /// Expected time of one token.
+    /// Expected time per token.
     pub token: Duration,
-    /// Expected time until the first token.
+    /// Expected time to the first token.
     pub first: Duration,
-    /// Largest part of any engine's KV or places that is believed to be in use, this request included. KV is booked beyond 1, and
-    /// requests of boxes that were not heard of yet are left out.
+    /// Highest utilization of KV capacity or slots among the engines, including this request. KV
+    /// capacity may be overbooked, so the value can exceed 1. Load of boxes that have not reported
+    /// yet is excluded.
     pub used: f64,
 }
 
 /// An instance of a plain service.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Instance {
-    /// The instance.
+    /// The row of the instance.
     pub engine: EngineKey,
-    /// Requests there in parts of its slots, this one included, as lately known. Above 1 some wait.
+    /// Requests at the instance relative to its slots, including this one, by the last known load.
+    /// Above 1, some requests are queued.
     pub used: f64,
 }
 
-/// Which engines a choice looks at, the strictest first.
+/// Engines that a selection considers, strictest first.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Trust {
-    /// Only those of the sound ones that are drawn for the request, all in one failure domain.
-    Drawn,
-    /// Only engines without a recent failure whose entry is there.
-    Sound,
-    /// Any engine that is neither leaving nor dead, holds what its entry says and is not known to be full.
+enum Filter {
+    /// Healthy engines that are sampled for the request, all in one failure domain.
+    Sampled,
+    /// Engines without a recent failure whose entry is present.
+    Healthy,
+    /// Engines that are neither leaving nor dead, that hold the layers of their entry and are not
+    /// known to be full.
     Any,
 }
 
-/// A path that costs little, or `None` if the layers are not all held.
+/// Returns a low-cost path, or `None` if no usable engine holds some layer.
 pub fn path(
     fleet: &Fleet,
     service: &str,
@@ -157,160 +166,169 @@
     need: Need,
     cx: &Circumstance<'_>,
 ) -> Option<Choice> {
-    if let Some(home) = way_at_home(fleet, service, model, need, cx) {
-        return home.prove(model);
+    if let Some(local) = local_path(fleet, service, model, need, cx) {
+        return local.into_choice(model);
     }
-    let cheapest = |trust| cheapest_way(fleet, service, model, need, cx, trust);
-    // All engines are looked at only where the drawn ones don't do: a search takes the longer the more there are.
-    let drawn = match cheapest(Trust::Drawn) {
-        Some(drawn) if drawn.sums.used < MAY_BE_FULL => return drawn.prove(model),
-        drawn => drawn,
+    let cheapest = |filter| cheapest_path(fleet, service, model, need, cx, filter);
+    // All engines are searched only if the sample has no suitable path, since the search time grows
+    // with the number of engines.
+    let sampled = match cheapest(Filter::Sampled) {
+        Some(found) if found.totals.utilization < NEARLY_FULL => return found.into_choice(model),
+        found => found,
     };
-    let Some(least) = cheapest(Trust::Sound) else {
-        return cheapest(Trust::Any)?.prove(model);
+    let Some(healthy) = cheapest(Filter::Healthy) else {
+        return cheapest(Filter::Any)?.into_choice(model);
     };
-    let nobody_has_room = least.sums.used >= MAY_BE_FULL;
-    drawn
-        .filter(|_| nobody_has_room)
-        .unwrap_or(least)
-        .prove(model)
+    let all_nearly_full = healthy.totals.utilization >= NEARLY_FULL;
+    sampled
+        .filter(|_| all_nearly_full)
+        .unwrap_or(healthy)
+        .into_choice(model)
 }
 
-/// A way over drawn engines of the home domain, if they have room for it and it meets the objectives with ease. Requests that cross
-/// failure domains end with the link between them, and a search over all domains takes the longer the more there are.
-fn way_at_home(
+/// Returns a path over sampled engines of the local failure domain if they have enough spare
+/// capacity and meet the latency objectives with a margin. Requests that cross failure domains fail
+/// with the link between the domains, and searching all domains takes longer.
+fn local_path(
     fleet: &Fleet,
     service: &str,
     model: &LayerModel,
     need: Need,
     cx: &Circumstance<'_>,
-) -> Option<Found> {
-    let at_home = fleet
+) -> Option<FoundPath> {
+    let local_engines = fleet
         .of_service(service)
         .filter(|(_, engine)| &*engine.entry.domain == cx.home);
-    let candidates: Vec<Candidate<'_>> = at_home
-        .filter_map(|row| candidate(row, model, need, cx, Trust::Drawn))
+    let candidates: Vec<Candidate<'_>> = local_engines
+        .filter_map(|row| candidate(row, model, need, cx, Filter::Sampled))
         .collect();
-    let (_, found) = best(&candidates, model, HOP_MS, need.aim)?;
-    let is_enough = found.sums.used < HOME_ROOM && is_in_time(&found.sums, model, need.aim);
-    is_enough.then_some(found)
+    let (_, found) = best_path(&candidates, model, HOP_MS, need.aim)?;
+    let is_sufficient = found.totals.utilization < MAX_LOCAL_UTILIZATION
+        && meets_objectives_with_margin(&found.totals, model, need.aim);
+    is_sufficient.then_some(found)
 }
 
-/// The way that costs least among the engines that are trusted so far.
-fn cheapest_way(
+/// Returns the cheapest path among the engines that pass the filter.
+fn cheapest_path(
     fleet: &Fleet,
     service: &str,
     model: &LayerModel,
     need: Need,
     cx: &Circumstance<'_>,
-    trust: Trust,
-) -> Option<Found> {
+    filter: Filter,
+) -> Option<FoundPath> {
     let mut by_domain: BTreeMap<&str, Vec<Candidate<'_>>> = BTreeMap::new();
-    let rows = fleet.of_service(service);
-    for candidate in rows.filter_map(|row| candidate(row, model, need, cx, trust)) {
+    let targets = fleet.of_service(service);
+    for candidate in targets.filter_map(|row| candidate(row, model, need, cx, filter)) {
         by_domain
             .entry(&candidate.engine.entry.domain)
             .or_default()
             .push(candidate);
     }
-    let within = by_domain.iter().filter_map(|(domain, candidates)| {
-        let (cost, found) = best(candidates, model, HOP_MS, need.aim)?;
-        let factor = if *domain == cx.home { HOME_BONUS } else { 1.0 };
+    let per_domain = by_domain.iter().filter_map(|(domain, candidates)| {
+        let (cost, found) = best_path(candidates, model, HOP_MS, need.aim)?;
+        let factor = if *domain == cx.home {
+            LOCAL_COST_FACTOR
+        } else {
+            1.0
+        };
         Some((cost * factor, found))
     });
-    let least = within.min_by(|a, b| a.0.total_cmp(&b.0));
-    if least.is_some() || trust == Trust::Drawn {
-        return least.map(|(_, found)| found);
+    let cheapest = per_domain.min_by(|a, b| a.0.total_cmp(&b.0));
+    if cheapest.is_some() || filter == Filter::Sampled {
+        return cheapest.map(|(_, found)| found);
     }
     let all: Vec<Candidate<'_>> = by_domain.into_values().flatten().collect();
-    best(&all, model, FAR_HOP_MS, need.aim).map(|(_, found)| found)
+    best_path(&all, model, REMOTE_HOP_MS, need.aim).map(|(_, found)| found)
 }
 
-/// An engine with what a request takes of it, if it is trusted and has room.
+/// Returns an engine with its cost for the request if it passes the filter and has enough KV
+/// capacity.
 fn candidate<'a>(
     (key, engine): (EngineKey, &'a Engine),
     model: &LayerModel,
     need: Need,
     cx: &Circumstance<'_>,
-    trust: Trust,
+    filter: Filter,
 ) -> Option<Candidate<'a>> {
-    if !is_usable(key, engine, cx, trust) {
+    if !is_usable(key, engine, cx, filter) {
         return None;
     }
     Candidate::new(key, engine, model, need, cx)
 }
 
-fn is_usable(key: EngineKey, engine: &Engine, cx: &Circumstance<'_>, trust: Trust) -> bool {
+fn is_usable(key: EngineKey, engine: &Engine, cx: &Circumstance<'_>, filter: Filter) -> bool {
     let health = &engine.health;
-    let is_gone = engine.is_leaving() || health.is_dead() || health.is_contradicted(cx.now);
-    // Asked again at once, a full engine would refuse again, and each refused send is taken from the shared
-    // budget.
-    if is_gone || health.is_full(cx.now) || cx.avoid.contains(&key) {
+    let is_unavailable = engine.is_leaving() || health.is_dead() || health.is_contradicted(cx.now);
+    // A full engine would refuse an immediate retry, and each refused send is charged to the shared
+    // retry budget.
+    if is_unavailable || health.is_full(cx.now) || cx.avoid.contains(&key) {
         return false;
     }
-    let is_doubtful =
+    let is_suspect =
         health.is_held(cx.now) || engine.missing_since.is_some() || engine.is_remotely_silent();
-    match trust {
-        Trust::Drawn => !is_doubtful && chance(cx.draw ^ DRAWN_SALT, key) < DRAWN_PART,
-        Trust::Sound => !is_doubtful,
-        Trust::Any => true,
+    match filter {
+        Filter::Sampled => !is_suspect && unit_hash(cx.draw ^ SAMPLE_SALT, key) < SAMPLE_FRACTION,
+        Filter::Healthy => !is_suspect,
+        Filter::Any => true,
     }
 }
 
-/// The instance of a plain service with the least work for its slots. Of equal ones those of the home domain go first if there are
-/// several, and the draw breaks ties.
+/// Returns the instance of a plain service with the least load per slot. Among equally loaded ones,
+/// local instances are preferred if there are several, and the request's random number breaks ties.
 pub fn instance(
     fleet: &Fleet,
     service: &str,
     most_connections: u32,
     cx: &Circumstance<'_>,
 ) -> Option<Instance> {
-    instance_of(fleet, service, most_connections, cx, Trust::Sound)
-        .or_else(|| instance_of(fleet, service, most_connections, cx, Trust::Any))
+    least_loaded_instance(fleet, service, most_connections, cx, Filter::Healthy)
+        .or_else(|| least_loaded_instance(fleet, service, most_connections, cx, Filter::Any))
 }
 
-fn instance_of(
+fn least_loaded_instance(
     fleet: &Fleet,
     service: &str,
     most_connections: u32,
     cx: &Circumstance<'_>,
-    trust: Trust,
+    filter: Filter,
 ) -> Option<Instance> {
-    let work = |engine: &Engine| {
+    let load = |engine: &Engine| {
         let others = engine.remote_running.max(engine.others_told);
         let running = f64::from(engine.running) + others;
         running / f64::from(engine.entry.slots.max(1))
     };
     let usable: Vec<(EngineKey, &Engine)> = fleet
         .of_service(service)
-        .filter(|(key, engine)| is_usable(*key, engine, cx, trust))
-        .filter(|(_, engine)| !cx.is_kept_from(engine))
+        .filter(|(key, engine)| is_usable(*key, engine, cx, filter))
+        .filter(|(_, engine)| !cx.is_send_blocked(engine))
         .filter(|(_, engine)| engine.running < most_connections)
         .collect();
-    let least = usable
+    let min_load = usable
         .iter()
-        .map(|(_, engine)| work(engine))
+        .map(|(_, engine)| load(engine))
         .min_by(f64::total_cmp)?;
-    let least: Vec<&(EngineKey, &Engine)> = usable
+    let least_loaded: Vec<&(EngineKey, &Engine)> = usable
         .iter()
-        .filter(|(_, engine)| work(engine) <= least + f64::EPSILON)
+        .filter(|(_, engine)| load(engine) <= min_load + f64::EPSILON)
         .collect();
-    let is_home = |(_, engine): &(EngineKey, &Engine)| &*engine.entry.domain == cx.home;
-    let at_home = least.iter().filter(|each| is_home(each)).count();
-    let near: Vec<EngineKey> = least
+    let is_local = |(_, engine): &(EngineKey, &Engine)| &*engine.entry.domain == cx.home;
+    let local_count = least_loaded.iter().filter(|each| is_local(each)).count();
+    let preferred: Vec<EngineKey> = least_loaded
         .into_iter()
-        .filter(|each| at_home < HOME_INSTANCES || is_home(each))
+        .filter(|each| local_count < MIN_LOCAL_INSTANCES || is_local(each))
         .map(|(key, _)| *key)
         .collect();
-    let key = near.get(cx.draw as usize % near.len()).copied()?;
+    let key = preferred.get(cx.draw as usize % preferred.len()).copied()?;
     Some(Instance {
         engine: key,
         used: slots_used(fleet.get(key)?, cx.now),
     })
 }
 
-/// Part of an instance's slots that is in use with one request more. What it told in an answer counts only while it is recent: a
-/// number that no new answer corrects would keep requests away for good.
+/// Returns the load of an instance per slot, including one more request. The load that an instance
+/// reported in an answer counts only while it is recent: otherwise a high value that no new answer
+/// corrects would divert requests permanently.
 fn slots_used(engine: &Engine, now: Instant) -> f64 {
     let others = engine.remote_running.max(engine.others_told_lately(now));
     let running = f64::from(engine.running) + others + 1.0;
--- a/reachtally-core/src/forward/select/repair.rs
+++ b/reachtally-core/src/forward/select/repair.rs
@@ -1,19 +1,21 @@
-//! How the path of a running request goes on without engines that died.
+//! Replaces dead engines in the path of a running request.
 
 use std::ops::Range;
 
 use super::candidate::Candidate;
-use super::judge::best;
-use super::{Choice, Circumstance, FAR_HOP_MS, HOP_MS, Need, Trust, is_usable};
+use super::judge::best_path;
+use super::{Choice, Circumstance, Filter, HOP_MS, Need, REMOTE_HOP_MS, is_usable};
 use crate::forward::cost::{LayerModel, Layers};
 use crate::forward::fleet::{EngineKey, Fleet};
 use crate::forward::path::{Part, Path};
 
-/// A path in place of `current` without the engines `dead`, or `None` if there is none or the first engine is among them.
+/// Returns a replacement for `current` that avoids the engines `dead`, or `None` if there is none
+/// or the first engine is dead.
 ///
-/// Parts of other engines stay as they are: the request has its room there and was read. The rest is the cheapest way over engines
-/// that read `need.prompt`, which must include the tokens generated so far. Engines of the first engine's failure domain are
-/// preferred. What is expected of the choice includes the step time of kept engines.
+/// Parts on other engines are retained, since the request occupies KV capacity there and its prompt
+/// has been prefilled. The other layers use the cheapest engines, which prefill `need.prompt`; it
+/// must include the tokens generated so far. Engines in the failure domain of the first engine are
+/// preferred. The expected times of the result include the step times of retained engines.
 pub fn repair(
     fleet: &Fleet,
     service: &str,
@@ -23,7 +25,7 @@
     current: &Path,
     dead: &[EngineKey],
 ) -> Option<Choice> {
-    let job = Job {
+    let task = RepairTask {
         fleet,
         service,
         model,
@@ -40,20 +42,21 @@
     if !alive[0] {
         return None;
     }
-    let lost = |at: &usize| !alive[*at];
-    let Some(first) = (0..alive.len()).find(lost) else {
-        return job.choose(&alive);
+    let is_lost = |at: &usize| !alive[*at];
+    let Some(first_lost) = (0..alive.len()).find(is_lost) else {
+        return task.choose(&alive);
     };
-    let last = (0..alive.len()).rfind(lost)?;
-    job.choose(&alive).or_else(|| {
-        // An engine stands in a path once, so one that holds two lost parts can run them only with all between them.
-        let outside = |at| at < first || at > last;
-        job.choose(&(0..alive.len()).map(outside).collect::<Vec<bool>>())
+    let last_lost = (0..alive.len()).rfind(is_lost)?;
+    task.choose(&alive).or_else(|| {
+        // An engine occurs only once in a path, so one that holds the layers of two lost parts can
+        // run both only together with all parts in between.
+        let outside = |at| at < first_lost || at > last_lost;
+        task.choose(&(0..alive.len()).map(outside).collect::<Vec<bool>>())
     })
 }
 
-/// A path to repair.
-struct Job<'a> {
+/// The inputs of a repair.
+struct RepairTask<'a> {
     fleet: &'a Fleet,
     service: &'a str,
     model: &'a LayerModel,
@@ -62,34 +65,39 @@
     current: &'a Path,
 }
 
-impl Job<'_> {
-    /// The cheapest path with those parts that are `kept`: over the most trusted engines, at home if possible.
-    fn choose(&self, kept: &[bool]) -> Option<Choice> {
+impl RepairTask<'_> {
+    /// Returns the cheapest path that keeps the `retained` parts. Healthy engines and the failure
+    /// domain of the first engine are tried first.
+    fn choose(&self, retained: &[bool]) -> Option<Choice> {
         let first = self.fleet.get(self.current.first().engine)?;
         let home = &*first.entry.domain;
-        let steps = [Trust::Sound, Trust::Any]
+        let attempts = [Filter::Healthy, Filter::Any]
             .into_iter()
-            .flat_map(|trust| [(trust, Some(home), HOP_MS), (trust, None, FAR_HOP_MS)]);
-        steps.into_iter().find_map(|(trust, domain, hop_ms)| {
-            let candidates = self.candidates(kept, trust, domain)?;
-            let (_, found) = best(&candidates, self.model, hop_ms, self.need.aim)?;
-            found.prove(self.model)
+            .flat_map(|filter| [(filter, Some(home), HOP_MS), (filter, None, REMOTE_HOP_MS)]);
+        attempts.into_iter().find_map(|(filter, domain, hop_ms)| {
+            let candidates = self.candidates(retained, filter, domain)?;
+            let (_, found) = best_path(&candidates, self.model, hop_ms, self.need.aim)?;
+            found.into_choice(self.model)
         })
     }
 
     fn candidates(
         &self,
-        kept: &[bool],
-        trust: Trust,
+        retained: &[bool],
+        filter: Filter,
         domain: Option<&str>,
     ) -> Option<Vec<Candidate<'_>>> {
         let mut candidates = Vec::new();
         let parts = self.current.parts();
-        for (part, _) in parts.iter().zip(kept).filter(|(_, is_kept)| **is_kept) {
+        for (part, _) in parts
+            .iter()
+            .zip(retained)
+            .filter(|(_, is_retained)| **is_retained)
+        {
             let engine = self.fleet.get(part.engine)?;
             let layers = part.layers.clone();
             let (model, need, cx) = (self.model, self.need, self.cx);
-            candidates.push(Candidate::kept(
+            candidates.push(Candidate::retained(
                 part.engine,
                 engine,
                 layers,
@@ -98,19 +106,19 @@
                 cx,
             )?);
         }
-        let gaps = gaps(parts, kept);
+        let gaps = gaps(parts, retained);
         for (key, engine) in self.fleet.of_service(self.service) {
-            let is_elsewhere = domain.is_some_and(|domain| *engine.entry.domain != *domain);
-            let is_of_path = parts.iter().any(|part| part.engine == key);
-            if is_elsewhere || is_of_path || !is_usable(key, engine, self.cx, trust) {
+            let is_other_domain = domain.is_some_and(|domain| *engine.entry.domain != *domain);
+            let is_in_path = parts.iter().any(|part| part.engine == key);
+            if is_other_domain || is_in_path || !is_usable(key, engine, self.cx, filter) {
                 continue;
             }
             let Some(candidate) = Candidate::new(key, engine, self.model, self.need, self.cx)
             else {
                 continue;
             };
-            let within = gaps.iter().map(|gap| overlap(gap, &candidate.layers));
-            for layers in within.filter(|layers| !layers.is_empty()) {
+            let missing = gaps.iter().map(|gap| intersect(gap, &candidate.layers));
+            for layers in missing.filter(|layers| !layers.is_empty()) {
                 candidates.push(Candidate {
                     layers,
                     ..candidate.clone()
@@ -121,10 +129,14 @@
     }
 }
 
-/// The layers of parts that are not kept; neighbours are joined.
-fn gaps(parts: &[Part], kept: &[bool]) -> Vec<Layers> {
+/// Returns the layer ranges of the parts that are not retained, with adjacent ranges merged.
+fn gaps(parts: &[Part], retained: &[bool]) -> Vec<Layers> {
     let mut gaps: Vec<Layers> = Vec::new();
-    for (part, _) in parts.iter().zip(kept).filter(|(_, is_kept)| !**is_kept) {
+    for (part, _) in parts
+        .iter()
+        .zip(retained)
+        .filter(|(_, is_retained)| !**is_retained)
+    {
         match gaps.last_mut() {
             Some(last) if last.end == part.layers.start => last.end = part.layers.end,
             _ => gaps.push(part.layers.clone()),
@@ -133,6 +145,6 @@
     gaps
 }
 
-fn overlap(a: &Layers, b: &Layers) -> Range<u32> {
+fn intersect(a: &Layers, b: &Layers) -> Range<u32> {
     a.start.max(b.start)..a.end.min(b.end)
 }
--- a/reachtally-core/src/forward/select/shortage.rs
+++ b/reachtally-core/src/forward/select/shortage.rs
@@ -1,24 +1,26 @@
-//! Why there is no path, for the log.
+//! Reasons why no path exists, for logging.
 
 use std::collections::BTreeMap;
 
-use super::{Candidate, Circumstance, Need, Trust, is_usable};
+use super::{Candidate, Circumstance, Filter, Need, is_usable};
 use crate::forward::cost::LayerModel;
 use crate::forward::fleet::{Engine, EngineKey, Fleet};
 
-/// Failure domains without a path, by what they lack. One that lacks several things counts as the first of
-/// them here.
+/// Numbers of failure domains without a path, by reason. A domain with several reasons counts under
+/// the first of them in field order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct Shortage {
-    /// Some layer is held by no engine.
+    /// No engine holds some layer.
     pub gap: u32,
-    /// Some layer is held only by engines that are dead, leaving, avoided or held off.
+    /// Some layer is held only by engines that are dead, leaving, excluded or temporarily
+    /// suspended.
     pub unusable: u32,
-    /// Some layer is held only by engines that have no room.
+    /// Some layer is held only by engines without free capacity.
     pub full: u32,
-    /// The first layer is held only by engines that this box backs off from, or that have no room.
+    /// The first layer is held only by engines that are in back-off or have no free capacity.
     pub backing_off: u32,
-    /// The first layer is held only by engines whose rate limit is used up, that this box backs off from, or that have no room.
+    /// The first layer is held only by engines that have exhausted their rate limit, are in
+    /// back-off or have no free capacity.
     pub limited: u32,
 }
 
@@ -33,23 +35,23 @@
         } = self;
         write!(
             f,
-            "gap {gap}, unusable {unusable}, full {full}, resting {backing_off}, limited {limited}"
+            "gap {gap}, unusable {unusable}, full {full}, backing off {backing_off}, limited {limited}"
         )
     }
 }
 
-/// How well a failure domain can run a layer, worst first.
+/// Whether a failure domain can run a layer, worst first.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-enum Supply {
+enum Status {
     Gap,
     Unusable,
     Full,
     BackingOff,
     Limited,
-    There,
+    Available,
 }
 
-/// What keeps each failure domain from running a request.
+/// Returns why failure domains cannot run a request.
 pub fn shortage(
     fleet: &Fleet,
     service: &str,
@@ -58,49 +60,50 @@
     cx: &Circumstance<'_>,
 ) -> Shortage {
     let layers = model.layers as usize;
-    let mut by_domain: BTreeMap<&str, Vec<Supply>> = BTreeMap::new();
+    let mut by_domain: BTreeMap<&str, Vec<Status>> = BTreeMap::new();
     for (key, engine) in fleet.of_service(service) {
-        let supplies = by_domain
+        let by_layer = by_domain
             .entry(&engine.entry.domain)
-            .or_insert_with(|| vec![Supply::Gap; layers]);
-        let (first, other) = supply(key, engine, model, need, cx);
+            .or_insert_with(|| vec![Status::Gap; layers]);
+        let (first, other) = status(key, engine, model, need, cx);
         for layer in engine.entry.layers.clone() {
             let offered = if layer == 0 { first } else { other };
-            if let Some(best) = supplies.get_mut(layer as usize) {
+            if let Some(best) = by_layer.get_mut(layer as usize) {
                 *best = offered.max(*best);
             }
         }
     }
     let mut found = Shortage::default();
-    for supplies in by_domain.values() {
-        match supplies.iter().min() {
-            Some(Supply::Gap) => found.gap += 1,
-            Some(Supply::Unusable) => found.unusable += 1,
-            Some(Supply::Full) => found.full += 1,
-            Some(Supply::BackingOff) => found.backing_off += 1,
-            Some(Supply::Limited) => found.limited += 1,
-            Some(Supply::There) | None => {}
+    for by_layer in by_domain.values() {
+        match by_layer.iter().min() {
+            Some(Status::Gap) => found.gap += 1,
+            Some(Status::Unusable) => found.unusable += 1,
+            Some(Status::Full) => found.full += 1,
+            Some(Status::BackingOff) => found.backing_off += 1,
+            Some(Status::Limited) => found.limited += 1,
+            Some(Status::Available) | None => {}
         }
     }
     found
 }
 
-/// How well an engine can run the model's first layer, which takes one of its places, and any other.
-fn supply(
+/// Returns the availability of an engine for the model's first layer, which occupies one of its
+/// slots, and for any other layer.
+fn status(
     key: EngineKey,
     engine: &Engine,
     model: &LayerModel,
     need: Need,
     cx: &Circumstance<'_>,
-) -> (Supply, Supply) {
-    if !is_usable(key, engine, cx, Trust::Any) {
-        return (Supply::Unusable, Supply::Unusable);
+) -> (Status, Status) {
+    if !is_usable(key, engine, cx, Filter::Any) {
+        return (Status::Unusable, Status::Unusable);
     }
     match Candidate::new(key, engine, model, need, cx) {
-        None => (Supply::Full, Supply::Full),
-        Some(candidate) if candidate.takes_more => (Supply::There, Supply::There),
-        Some(_) if engine.notice.is_backing_off(cx.now) => (Supply::BackingOff, Supply::There),
-        Some(_) if cx.lacks_permit(engine) => (Supply::Limited, Supply::There),
-        Some(_) => (Supply::Full, Supply::There),
+        None => (Status::Full, Status::Full),
+        Some(candidate) if candidate.accepts_requests => (Status::Available, Status::Available),
+        Some(_) if engine.notice.is_backing_off(cx.now) => (Status::BackingOff, Status::Available),
+        Some(_) if cx.lacks_permit(engine) => (Status::Limited, Status::Available),
+        Some(_) => (Status::Full, Status::Available),
     }
 }
--- a/reachtally-core/src/forward/select/ways.rs
+++ b/reachtally-core/src/forward/select/ways.rs
@@ -1,4 +1,4 @@
-//! The cheapest way through the layers.
+//! Shortest-path search through the layers of a model.
 
 use std::time::Duration;
 
@@ -7,26 +7,26 @@
 use crate::forward::cost::LayerModel;
 use crate::forward::path::{Part, Path};
 
-/// How much each part of a way counts.
+/// Weights of the cost components of a path.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct Weights {
-    /// Of the price.
+    /// Weight of the price.
     pub price: f64,
-    /// Of the time of a token, in ms.
+    /// Weight of the time per token, in ms.
     pub token: f64,
-    /// Of the time to the first token, in ms.
+    /// Weight of the time to the first token, in ms.
     pub first: f64,
 }
 
 impl Weights {
-    /// Only the price counts, and hops a little.
+    /// Minimizes the price; hops count slightly.
     pub const CHEAPEST: Weights = Weights {
         price: 1.0,
         token: 1e-9,
         first: 1e-9,
     };
 
-    /// Only the duration of a usual request counts.
+    /// Minimizes the duration of a mean request.
     pub fn fastest(model: &LayerModel) -> Self {
         Weights {
             price: 0.0,
@@ -36,121 +36,122 @@
     }
 }
 
-/// What the parts of a way come to together.
+/// Accumulated cost components of a path.
 #[derive(Debug, Clone, Copy)]
-pub(super) struct Sums {
-    /// Price of the room that it holds, for each second, with chance.
+pub(super) struct PathTotals {
+    /// Price per second of the KV capacity that the request occupies, including random jitter.
     pub price: f64,
-    /// The largest part of an engine's room that is believed to be in use.
-    pub used: f64,
-    /// The largest part of an engine's room, or of the first one's places, that is known to be in use.
-    pub known: f64,
-    /// Time of a token.
+    /// Highest estimated utilization among the engines.
+    pub utilization: f64,
+    /// Highest reported utilization: of KV capacity on any engine, or of slots on the first one.
+    pub reported_utilization: f64,
+    /// Time per token.
     pub token_ms: f64,
-    /// Time to read the prompt, with the prompts that are read before it.
+    /// Prefill time of the prompt and of the prompts queued before it.
     read_ms: f64,
-    /// Time that the request waits at the first engine.
+    /// Queueing time at the first engine.
     queue_ms: f64,
-    /// Time until all engines have room.
-    room_ms: f64,
+    /// Time until all engines have enough free KV capacity.
+    capacity_wait_ms: f64,
 }
 
-impl Sums {
-    /// Expected time until the first token.
+impl PathTotals {
+    /// Expected time to the first token.
     pub fn first_ms(&self) -> f64 {
         self.read_ms + self.token_ms + self.queue_ms
     }
 
-    /// Time until the first token by which ways are compared: with what all engines lack of room in place of the queue, since sends
-    /// of others after a queue was stated are part of the one and not of the other.
-    pub fn compared_first_ms(&self) -> f64 {
-        self.read_ms + self.token_ms + self.room_ms
+    /// Time to the first token by which paths are ranked. Uses the missing KV capacity of all
+    /// engines instead of the announced queue, which excludes requests that other boxes sent after
+    /// the announcement.
+    pub fn ranking_first_ms(&self) -> f64 {
+        self.read_ms + self.token_ms + self.capacity_wait_ms
     }
 }
 
-/// Parts with their sums.
+/// The parts of a path with their accumulated cost components.
 #[derive(Debug, Clone)]
-pub(super) struct Found {
+pub(super) struct FoundPath {
     parts: Vec<Part>,
-    pub sums: Sums,
+    pub totals: PathTotals,
 }
 
-impl Found {
-    pub fn prove(self, model: &LayerModel) -> Option<Choice> {
-        let first = Duration::from_secs_f64(self.sums.first_ms() / 1000.0);
+impl FoundPath {
+    pub fn into_choice(self, model: &LayerModel) -> Option<Choice> {
+        let first = Duration::from_secs_f64(self.totals.first_ms() / 1000.0);
         let path = Path::prove(self.parts, model.layers).ok()?;
         Some(Choice {
             path,
-            token: Duration::from_secs_f64(self.sums.token_ms / 1000.0),
+            token: Duration::from_secs_f64(self.totals.token_ms / 1000.0),
             first,
-            used: self.sums.known,
+            used: self.totals.reported_utilization,
         })
     }
 }
 
-/// The cheapest way found to run the layers from the first to some layer.
+/// The cheapest path found that runs the layers from 0 up to some layer.
 #[derive(Debug, Clone, Copy)]
-struct Way {
-    /// What it costs by the weights.
+struct PartialPath {
+    /// Weighted cost.
     cost: f64,
-    sums: Sums,
-    /// Where its last part begins.
+    totals: PathTotals,
+    /// First layer of the last part.
     from: usize,
-    /// The candidate that runs its last part.
+    /// Index of the candidate that runs the last part.
     last: usize,
 }
 
-impl Way {
-    /// Before the first layer.
-    const START: Way = Way {
+impl PartialPath {
+    /// The empty path before the first layer.
+    const START: PartialPath = PartialPath {
         cost: 0.0,
-        sums: Sums {
+        totals: PathTotals {
             price: 0.0,
-            used: 0.0,
-            known: 0.0,
+            utilization: 0.0,
+            reported_utilization: 0.0,
             token_ms: 0.0,
             read_ms: 0.0,
             queue_ms: 0.0,
-            room_ms: 0.0,
+            capacity_wait_ms: 0.0,
         },
         from: 0,
         last: usize::MAX,
     };
 
-    /// Go on over a candidate, from layer `from` for `layers` layers.
-    fn step(
+    /// Appends a part that runs `layers` layers from layer `from` on a candidate.
+    fn extend(
         self,
         (last, candidate): (usize, &Candidate<'_>),
         from: usize,
         layers: f64,
         hop_ms: f64,
         weights: Weights,
-    ) -> Way {
+    ) -> PartialPath {
         let token_ms = candidate.token_ms * layers + hop_ms;
         let read_ms = (candidate.read_ms + candidate.wait_ms) * layers + hop_ms;
-        // Later engines get their work from the first, whose places bound it.
-        let places_used = if from == 0 {
-            candidate.places_used
+        // Later engines receive their work from the first one, so only its slots limit the path.
+        let slot_utilization = if from == 0 {
+            candidate.slot_utilization
         } else {
             0.0
         };
-        let known = candidate.room_used.max(places_used);
+        let reported_utilization = candidate.kv_utilization.max(slot_utilization);
         let cost = weights.price * candidate.price
             + weights.token * token_ms
-            + weights.first * (read_ms + candidate.room_ms);
-        Way {
+            + weights.first * (read_ms + candidate.capacity_wait_ms);
+        PartialPath {
             cost: self.cost + cost,
-            sums: Sums {
-                price: self.sums.price + candidate.price,
-                used: self.sums.used.max(candidate.used),
-                known: self.sums.known.max(known),
-                token_ms: self.sums.token_ms + token_ms,
-                read_ms: self.sums.read_ms + read_ms,
+            totals: PathTotals {
+                price: self.totals.price + candidate.price,
+                utilization: self.totals.utilization.max(candidate.utilization),
+                reported_utilization: self.totals.reported_utilization.max(reported_utilization),
+                token_ms: self.totals.token_ms + token_ms,
+                read_ms: self.totals.read_ms + read_ms,
                 queue_ms: match from {
                     0 => candidate.queue_ms,
-                    _ => self.sums.queue_ms,
+                    _ => self.totals.queue_ms,
                 },
-                room_ms: self.sums.room_ms + candidate.room_ms,
+                capacity_wait_ms: self.totals.capacity_wait_ms + candidate.capacity_wait_ms,
             },
             from,
             last,
@@ -158,89 +159,96 @@
     }
 }
 
-/// Which candidates can run on from each layer that some way reaches; worked out once for all weights.
-pub(super) struct Reach<'c, 'a> {
+/// Candidates that can continue from each reachable layer; computed once for all weights.
+pub(super) struct LayerGraph<'c, 'a> {
     candidates: &'c [Candidate<'a>],
-    /// By layer, the numbers of the candidates that can run on from it.
+    /// Indices of the candidates that can run on from each layer.
     from: Vec<Vec<usize>>,
-    /// The layers of the model.
+    /// Number of layers of the model.
     end: usize,
 }
 
-impl<'c, 'a> Reach<'c, 'a> {
-    pub fn of(candidates: &'c [Candidate<'a>], model: &LayerModel) -> Self {
+impl<'c, 'a> LayerGraph<'c, 'a> {
+    pub fn new(candidates: &'c [Candidate<'a>], model: &LayerModel) -> Self {
         let end = model.layers as usize;
-        let mut reach = Reach {
+        let mut graph = LayerGraph {
             candidates,
             from: vec![Vec::new(); end],
             end,
         };
-        let mut is_reached = vec![false; end + 1];
-        is_reached[0] = true;
+        let mut is_reachable = vec![false; end + 1];
+        is_reachable[0] = true;
         for at in 0..end {
-            if !is_reached[at] {
+            if !is_reachable[at] {
                 continue;
             }
-            for (number, candidate) in candidates.iter().enumerate() {
+            for (index, candidate) in candidates.iter().enumerate() {
                 let layers = &candidate.layers;
-                if !layers.contains(&(at as u32)) || (at == 0 && !candidate.takes_more) {
+                if !layers.contains(&(at as u32)) || (at == 0 && !candidate.accepts_requests) {
                     continue;
                 }
-                if candidate.is_kept && layers.start != at as u32 {
+                if candidate.is_retained && layers.start != at as u32 {
                     continue;
                 }
-                is_reached[reach.to(number)] = true;
-                reach.from[at].push(number);
+                is_reachable[graph.end_of(index)] = true;
+                graph.from[at].push(index);
             }
         }
-        reach
+        graph
     }
 
-    /// The layer after the last that a candidate runs.
-    fn to(&self, number: usize) -> usize {
-        (self.candidates[number].layers.end as usize).min(self.end)
+    /// Returns the layer after the last one that a candidate runs.
+    fn end_of(&self, index: usize) -> usize {
+        (self.candidates[index].layers.end as usize).min(self.end)
     }
 }
 
-/// The cheapest way by `weights` from layer 0 to the last, where each part runs to the end of what its engine
-/// holds. `ways[x]` is the cheapest way that has run the layers `0..x`.
-pub(super) fn cheapest(reach: &Reach<'_, '_>, hop_ms: f64, weights: Weights) -> Option<Found> {
-    let end = reach.end;
-    let mut ways: Vec<Option<Way>> = vec![None; end + 1];
-    ways[0] = Some(Way::START);
+/// Returns the cheapest path by `weights` through all layers, where each part extends to the last
+/// layer that its engine holds. `paths[x]` is the cheapest path that runs the layers `0..x`.
+pub(super) fn cheapest(
+    graph: &LayerGraph<'_, '_>,
+    hop_ms: f64,
+    weights: Weights,
+) -> Option<FoundPath> {
+    let end = graph.end;
+    let mut paths: Vec<Option<PartialPath>> = vec![None; end + 1];
+    paths[0] = Some(PartialPath::START);
     for at in 0..end {
-        let Some(way) = ways[at] else {
+        let Some(path) = paths[at] else {
             continue;
         };
-        for &number in &reach.from[at] {
-            let to = reach.to(number);
-            let candidate = (number, &reach.candidates[number]);
-            let next = way.step(candidate, at, (to - at) as f64, hop_ms, weights);
-            if ways[to].is_none_or(|known| next.cost < known.cost) {
-                ways[to] = Some(next);
+        for &index in &graph.from[at] {
+            let to = graph.end_of(index);
+            let candidate = (index, &graph.candidates[index]);
+            let next = path.extend(candidate, at, (to - at) as f64, hop_ms, weights);
+            if paths[to].is_none_or(|known| next.cost < known.cost) {
+                paths[to] = Some(next);
             }
         }
     }
-    let whole = ways[end]?;
-    Some(Found {
-        parts: parts_of(reach.candidates, &ways)?,
-        sums: whole.sums,
+    let complete = paths[end]?;
+    Some(FoundPath {
+        parts: reconstruct_parts(graph.candidates, &paths)?,
+        totals: complete.totals,
     })
 }
 
-/// The parts of the way that has run all layers, from the last back to the first.
-fn parts_of(candidates: &[Candidate<'_>], ways: &[Option<Way>]) -> Option<Vec<Part>> {
+/// Reconstructs the parts of the complete path by following the predecessors from the last layer.
+fn reconstruct_parts(
+    candidates: &[Candidate<'_>],
+    paths: &[Option<PartialPath>],
+) -> Option<Vec<Part>> {
     let mut parts = Vec::new();
-    let mut to = ways.len() - 1;
+    let mut to = paths.len() - 1;
     while to > 0 {
-        let way = ways[to]?;
-        let candidate = &candidates[way.last];
+        let path = paths[to]?;
+        let candidate = &candidates[path.last];
         parts.push(Part {
             engine: candidate.key,
             address: candidate.engine.entry.address,
-            layers: way.from as u32..to as u32,
+            layers: path.from as u32..to as u32,
         });
-        to = way.from;
+        to = path.from;
     }
     parts.reverse();
     Some(parts)
