--- a/reachtally-core/src/forward/path.rs
+++ b/reachtally-core/src/forward/path.rs
@@ -1,42 +1,42 @@
-//! A chain of engines for one request, proved to run every layer once and in order.
+//! The path of a request: a chain of engines that is checked to run every layer once and in order.
 
 use std::net::SocketAddr;
 
 use crate::forward::cost::Layers;
 use crate::forward::fleet::EngineKey;
 
-/// Most parts of a path that engines accept.
+/// Maximum number of parts that engines accept in a path.
 pub const MOST_PARTS: usize = 32;
 
-/// One engine's part of a path.
+/// The part of a path that one engine runs.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Part {
-    /// The engine.
+    /// The row of the engine.
     pub engine: EngineKey,
-    /// Where it listens.
+    /// The address on which the engine listens.
     pub address: SocketAddr,
-    /// The layers it runs, which may be fewer than it holds.
+    /// The layers that the engine runs, possibly fewer than it holds.
     pub layers: Layers,
 }
 
-/// Why parts do not form a path.
+/// Why a list of parts is not a valid path.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum NotAPath {
-    /// There are no parts.
+    /// The list is empty.
     Empty,
     /// There are more parts than engines accept.
     TooLong,
-    /// A part begins elsewhere than the one before ended, or is empty.
+    /// A part is empty or does not start where the previous one ended.
     Broken {
-        /// The layer at which it should have begun.
+        /// The expected first layer of the part.
         at: u32,
     },
-    /// The last part ends before or after the model does.
+    /// The last part does not end at the last layer of the model.
     Incomplete {
-        /// Where it ends.
+        /// The end of the last part.
         end: u32,
     },
-    /// An engine stands in it twice.
+    /// An engine occurs more than once.
     Repeated,
 }
 
@@ -47,10 +47,11 @@
 }
 
 impl Path {
-    /// Prove that `parts` run the layers `0..layers` once and in order.
+    /// Checks that `parts` run the layers `0..layers` once and in order.
     ///
     /// # Errors
-    /// What is wrong with them.
+    ///
+    /// Returns the first violation found.
     pub fn prove(parts: Vec<Part>, layers: u32) -> Result<Path, NotAPath> {
         if parts.is_empty() {
             return Err(NotAPath::Empty);
@@ -77,17 +78,17 @@
         Ok(Path { parts })
     }
 
-    /// Its parts, in order.
+    /// Returns the parts, in order.
     pub fn parts(&self) -> &[Part] {
         &self.parts
     }
 
-    /// The engine that the request is sent to.
+    /// Returns the part on the engine to which the request is sent.
     pub fn first(&self) -> &Part {
         &self.parts[0]
     }
 
-    /// Its engines, in order.
+    /// Returns the engines, in order.
     pub fn engines(&self) -> Vec<EngineKey> {
         self.parts.iter().map(|part| part.engine).collect()
     }
--- a/reachtally-core/src/forward/placement/chains.rs
+++ b/reachtally-core/src/forward/placement/chains.rs
@@ -1,122 +1,133 @@
-//! Whole chains over engines that are all empty.
+//! Plans complete chains over empty engines.
 
-use super::{GiveUp, Host, LEAST_REQUESTS, Move, by_speed};
+use super::{GiveUp, Host, MIN_REQUESTS, Move, by_speed};
 use crate::forward::cost::{LayerModel, WAIT_FACTOR};
 
-/// Largest KV tried, in usual requests.
-const MOST_REQUESTS: f64 = 512.0;
-/// Step between two amounts tried.
-const REQUESTS_STEP: f64 = 1.15;
-/// Part of the largest chain's worth that is taken off for the chance that it dies.
-const LARGEST_AT_RISK: f64 = 0.4;
-/// Rounds in which a chain's flow and the time that depends on it settle.
-const FLOW_ROUNDS: u32 = 12;
-/// Time of a hop between engines of a group, in ms.
+/// Largest KV capacity tried, in mean requests.
+const MAX_REQUESTS: f64 = 512.0;
+/// Factor between two capacities tried.
+const REQUESTS_FACTOR: f64 = 1.15;
+/// Fraction of the largest chain's value that is deducted for the risk that it fails.
+const LARGEST_CHAIN_RISK: f64 = 0.4;
+/// Number of iterations in which the throughput of a chain and the request duration that depends on
+/// it converge.
+const THROUGHPUT_ITERATIONS: u32 = 12;
+/// Latency of a hop between engines of a group, in ms.
 const HOP_MS: f64 = 0.5;
 
-/// Chains over empty engines, in the order in which they are filled, until their smallest engines have `wanted` KV tokens together.
-pub fn plan(model: &LayerModel, empty: &[Host], wanted: f64) -> Vec<Move> {
-    let mut planned = Vec::new();
-    let mut room = 0.0;
+/// Returns chains over empty engines, in the order in which they are filled, until the smallest
+/// engines of the chains have `required` KV tokens in total.
+pub fn plan(model: &LayerModel, empty: &[Host], required: f64) -> Vec<Move> {
+    let mut moves = Vec::new();
+    let mut tokens = 0.0;
     for chain in best_chains(model, empty) {
-        if room >= wanted {
+        if tokens >= required {
             break;
         }
-        room += least_kv(model, &chain);
-        planned.extend(chain.into_iter().map(|(_, placed)| placed));
+        tokens += min_kv_tokens(model, &chain);
+        moves.extend(chain.into_iter().map(|(_, assigned)| assigned));
     }
-    planned
+    moves
 }
 
-/// KV tokens of the smallest engine of a chain.
-fn least_kv(model: &LayerModel, chain: &[Placed<'_>]) -> f64 {
+/// Returns the KV tokens of the smallest engine of a chain.
+fn min_kv_tokens(model: &LayerModel, chain: &[Assigned<'_>]) -> f64 {
     let each = chain
         .iter()
-        .map(|(host, placed)| model.kv_tokens(&host.card, placed.layers.len() as u32));
+        .map(|(host, assigned)| model.kv_tokens(&host.card, assigned.layers.len() as u32));
     each.fold(f64::INFINITY, f64::min)
 }
 
-/// The chains that engines would form if all were empty, with the amount of KV that makes them worth
-/// most.
-pub(super) fn best_chains<'a>(model: &LayerModel, hosts: &'a [Host]) -> Vec<Vec<Placed<'a>>> {
+/// Returns the chains that the engines would form if all were empty, for the KV capacity with the
+/// highest total value.
+pub(super) fn best_chains<'a>(model: &LayerModel, hosts: &'a [Host]) -> Vec<Vec<Assigned<'a>>> {
     let mut hosts: Vec<&Host> = hosts.iter().collect();
     hosts.sort_by(|a, b| by_speed(a, b));
-    let mut best: (f64, Vec<Vec<Placed<'_>>>) = (0.0, Vec::new());
-    let mut requests = LEAST_REQUESTS;
-    while requests <= MOST_REQUESTS {
+    let mut best: (f64, Vec<Vec<Assigned<'_>>>) = (0.0, Vec::new());
+    let mut requests = MIN_REQUESTS;
+    while requests <= MAX_REQUESTS {
         let chains = chains(model, &hosts, requests * model.usual_context());
-        let worth = worth(model, &chains);
-        if worth > best.0 {
-            best = (worth, chains);
+        let value = value(model, &chains);
+        if value > best.0 {
+            best = (value, chains);
         }
-        requests *= REQUESTS_STEP;
+        requests *= REQUESTS_FACTOR;
     }
     best.1
 }
 
 /// An engine of a chain with its layers.
-pub(super) type Placed<'a> = (&'a Host, Move);
+pub(super) type Assigned<'a> = (&'a Host, Move);
 
-/// Fill chains in the order of `hosts`, each engine holding as much as leaves it `kv` tokens. The
-/// engines of the last chain, which can't be completed, stay empty.
-fn chains<'a>(model: &LayerModel, hosts: &[&'a Host], kv: f64) -> Vec<Vec<Placed<'a>>> {
+/// Fills chains in the order of `hosts`. Each engine holds as many layers as leave it `kv` KV
+/// tokens. The engines of the last chain stay empty if it cannot be completed.
+fn chains<'a>(model: &LayerModel, hosts: &[&'a Host], kv: f64) -> Vec<Vec<Assigned<'a>>> {
     let mut chains = Vec::new();
     let mut chain = Vec::new();
-    let mut at = 0;
+    let mut start = 0;
     for host in hosts {
-        let most = model.most_layers(&host.card, kv);
-        let end = (at + most).min(model.layers);
-        if end == at {
+        let max_layers = model.most_layers(&host.card, kv);
+        let end = (start + max_layers).min(model.layers);
+        if end == start {
             continue;
         }
-        let placed = Move {
+        let assigned = Move {
             engine: host.engine,
-            layers: at..end,
+            layers: start..end,
             give_up: GiveUp::Wait,
         };
-        chain.push((*host, placed));
-        at = end;
-        if at == model.layers {
+        chain.push((*host, assigned));
+        start = end;
+        if start == model.layers {
             chains.push(std::mem::take(&mut chain));
-            at = 0;
+            start = 0;
         }
     }
     chains
 }
 
-/// What chains are worth: the sum of each one's flow over the time that a request takes there, less a
-/// part of the largest. Flow alone would put every engine into one long chain, where requests take
-/// long, hold KV long, and all stand still when one engine dies.
-fn worth(model: &LayerModel, chains: &[Vec<Placed<'_>>]) -> f64 {
+/// Returns the value of chains: the sum over all chains of the throughput divided by the request
+/// duration, minus a fraction of the largest value. Throughput alone would put all engines into one
+/// long chain, where requests take long, occupy KV capacity for long, and all stall when one engine
+/// fails.
+fn value(model: &LayerModel, chains: &[Vec<Assigned<'_>>]) -> f64 {
     let each: Vec<f64> = chains
         .iter()
-        .map(|chain| chain_worth(model, chain))
+        .map(|chain| chain_value(model, chain))
         .collect();
     let largest = each.iter().copied().fold(0.0, f64::max);
-    each.iter().sum::<f64>() - LARGEST_AT_RISK * largest
+    each.iter().sum::<f64>() - LARGEST_CHAIN_RISK * largest
 }
 
-/// Requests a second of one chain, by its places or its KV and the time that a request holds it, over
-/// that time in seconds. The time depends on the flow, since engines read prompts in between.
-fn chain_worth(model: &LayerModel, chain: &[Placed<'_>]) -> f64 {
-    let at_once = (least_kv(model, chain) / model.usual_context()).min(f64::from(model.slots));
-    let batch = (at_once / chain.len() as f64).max(1.0);
-    let mut flow = 0.0;
-    let mut held_ms = 1.0;
-    for _ in 0..FLOW_ROUNDS {
-        held_ms = chain_held_ms(model, chain, batch, flow);
-        flow = (flow + at_once * 1000.0 / held_ms) / 2.0;
+/// Returns the throughput of one chain in requests per second, divided by the request duration in
+/// seconds. The throughput is limited by the slots or the KV capacity. The duration depends on it,
+/// since engines prefill prompts between decode steps.
+fn chain_value(model: &LayerModel, chain: &[Assigned<'_>]) -> f64 {
+    let concurrency =
+        (min_kv_tokens(model, chain) / model.usual_context()).min(f64::from(model.slots));
+    let batch = (concurrency / chain.len() as f64).max(1.0);
+    let mut throughput = 0.0;
+    let mut duration_ms = 1.0;
+    for _ in 0..THROUGHPUT_ITERATIONS {
+        duration_ms = request_duration_ms(model, chain, batch, throughput);
+        throughput = (throughput + concurrency * 1000.0 / duration_ms) / 2.0;
     }
-    flow * 1000.0 / held_ms
+    throughput * 1000.0 / duration_ms
 }
 
-/// Time that a request holds a chain which serves `flow` requests a second, in ms.
-fn chain_held_ms(model: &LayerModel, chain: &[Placed<'_>], batch: f64, flow: f64) -> f64 {
-    let parts = chain.iter().map(|(host, placed)| {
-        let layers = placed.layers.len() as u32;
+/// Returns the duration of a request on a chain that serves `throughput` requests per second, in
+/// ms.
+fn request_duration_ms(
+    model: &LayerModel,
+    chain: &[Assigned<'_>],
+    batch: f64,
+    throughput: f64,
+) -> f64 {
+    let parts = chain.iter().map(|(host, assigned)| {
+        let layers = assigned.layers.len() as u32;
         let step_ms = model.step_ms(&host.card, layers, batch);
         let read_ms = model.read_ms(&host.card, layers, model.usual_prompt);
-        let busy = model.reading_slowdown(&host.card, layers, flow) * WAIT_FACTOR;
+        let busy = model.reading_slowdown(&host.card, layers, throughput) * WAIT_FACTOR;
         busy * (read_ms + model.usual_answer * step_ms) + model.usual_answer * HOP_MS
     });
     parts.sum()
--- a/reachtally-core/src/forward/placement/evaluate.rs
+++ b/reachtally-core/src/forward/placement/evaluate.rs
@@ -1,12 +1,15 @@
-//! What engines serve with the layers that they hold.
+//! Estimates the capacity of engines with the layers that they hold.
 //!
-//! Requests are spread over paths as the router may spread them: each part of a path runs to the end of what its
-//! engine holds, paths stay within a failure domain, and what is left over in several domains forms paths across
-//! them. Paths are filled one after the other, the cheapest first, until no path has room. All limits hold at once:
-//! places of first engines, KV of the smallest stage, reading, time of steps for a batch, hops, and the objectives.
+//! Requests are spread over paths as the router may spread them: each part of a path extends to the
+//! last layer that its engine holds, paths stay within a failure domain, and the remaining capacity
+//! of several domains forms paths across them. Paths are filled one after the other, cheapest
+//! first, until no path has capacity left. All limits apply at once: slots of first engines, KV
+//! capacity of the smallest engine, prefill rate, decode step times of a batch, hops, and latency
+//! objectives.
 //!
-//! Times are those for a bound on the batch that depends on the layers only. Several bounds are tried and the best
-//! counts in each failure domain, so that neither more memory nor a faster card makes other requests slower and lowers the value.
+//! Times are computed for a bound on the batch size that depends on the layers only. Several bounds
+//! are tried and the best one counts in each failure domain, so that neither more memory nor a
+//! faster card slows down other requests and lowers the result.
 
 mod fill;
 
@@ -16,66 +19,67 @@
 use crate::forward::select::Aim;
 
 use super::Host;
-use fill::Fleet;
+use fill::PathFiller;
 
-/// What callers in one failure domain ask for, of one size.
+/// Requests of one size that callers in one failure domain send.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Demand {
-    /// Their failure domain.
+    /// The failure domain of the callers.
     pub domain: String,
-    /// Requests a second.
+    /// Requests per second.
     pub per_s: f64,
-    /// Mean tokens of a prompt.
+    /// Mean prompt length in tokens.
     pub prompt: f64,
-    /// Mean tokens of an answer.
+    /// Mean answer length in tokens.
     pub answer: f64,
 }
 
-/// Requests a second that finish within their objectives.
+/// Requests per second that complete within their latency objectives.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Served {
-    /// Most that the engines could serve.
+    /// Maximum that the engines could serve.
     pub capacity: f64,
-    /// Of those that are asked for, all failure domains together.
+    /// Part of the demand that all failure domains serve in total.
     pub together: f64,
-    /// Of those that are asked for, with each failure domain cut off from the others.
+    /// Part of the demand that is served if the failure domains are isolated from each other.
     pub apart: f64,
 }
 
-/// What a fleet serves of a demand. The sizes of requests are those of the demand on average.
+/// Returns how much of a demand a fleet serves. Requests are assumed to have the mean size of the
+/// demand.
 pub fn served(model: &LayerModel, hosts: &[Host], demand: &[Demand], aim: Aim) -> Served {
-    let model = sized(model, demand);
-    let asked = |domain: Option<&str>| -> f64 {
+    let model = with_mean_size(model, demand);
+    let demanded = |domain: Option<&str>| -> f64 {
         let of = demand
             .iter()
-            .filter(|asked| domain.is_none_or(|name| asked.domain == name));
-        of.map(|asked| asked.per_s.max(0.0)).sum()
+            .filter(|each| domain.is_none_or(|name| each.domain == name));
+        of.map(|each| each.per_s.max(0.0)).sum()
     };
     let capacity = capacity(&model, hosts, aim);
-    let mut domains: Vec<&str> = demand.iter().map(|asked| &*asked.domain).collect();
+    let mut domains: Vec<&str> = demand.iter().map(|each| &*each.domain).collect();
     domains.sort_unstable();
     domains.dedup();
     let apart = domains.iter().map(|domain| {
         let own = hosts.iter().filter(|host| &*host.domain == *domain);
         let own: Vec<Host> = own.cloned().collect();
-        self::capacity(&model, &own, aim).min(asked(Some(domain)))
+        self::capacity(&model, &own, aim).min(demanded(Some(domain)))
     });
     Served {
         capacity,
-        together: capacity.min(asked(None)),
+        together: capacity.min(demanded(None)),
         apart: apart.sum(),
     }
 }
 
-/// Most requests a second of the model's usual sizes that engines serve within the objectives; 0 where some layer is
-/// held by none.
+/// Returns the maximum number of requests per second, of the model's mean size, that the engines
+/// serve within the latency objectives; 0 if no engine holds some layer.
 pub fn capacity(model: &LayerModel, hosts: &[Host], aim: Aim) -> f64 {
     flows(model, hosts, aim).per_s
 }
 
-/// The flows with which engines serve [`capacity`].
+/// Returns the throughput of the engines when they serve [`capacity`].
 pub fn flows(model: &LayerModel, hosts: &[Host], aim: Aim) -> Flows {
-    let best = Fleet::of(model, hosts, aim).fill();
+    let best = PathFiller::of(model, hosts, aim).fill();
     let mut by_engine = vec![0.0; hosts.len()];
     for (engines, per_s) in &best.paths {
         engines
@@ -88,23 +92,24 @@
     }
 }
 
-/// Requests a second through all engines together, and through each.
+/// Requests per second through all engines, and through each one.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Flows {
-    /// All together.
+    /// Total over all paths.
     pub per_s: f64,
     /// Through each engine, in the order of the hosts.
     pub by_engine: Vec<f64>,
 }
 
 impl Flows {
-    /// Up to `count` engines, by their numbers in `hosts`, that most requests pass; of engines that are alike one.
+    /// Returns the indices in `hosts` of up to `count` engines with the highest throughput; of
+    /// engines with the same domain, layers and card only the first.
     pub fn busiest(&self, hosts: &[Host], count: usize) -> Vec<usize> {
         let mut all: Vec<usize> = (0..hosts.len()).collect();
         all.sort_by(|a, b| self.by_engine[*b].total_cmp(&self.by_engine[*a]));
         let mut seen = BTreeSet::new();
-        all.retain(|number| {
-            let host = &hosts[*number];
+        all.retain(|index| {
+            let host = &hosts[*index];
             let range = (host.layers.start, host.layers.end);
             let kind = (
                 host.card.memory_mb.to_bits(),
@@ -117,35 +122,35 @@
     }
 }
 
-/// The engines of each chain along which [`capacity`] fills a fleet, by their numbers in `hosts`: each engine is
-/// in one chain at most.
+/// Returns the chains that [`capacity`] fills, as indices in `hosts`. Each engine is in at most one
+/// chain.
 pub fn chains(model: &LayerModel, hosts: &[Host], aim: Aim) -> Vec<Vec<usize>> {
     let mut seen = vec![false; hosts.len()];
-    let paths = Fleet::of(model, hosts, aim).fill().paths;
+    let paths = PathFiller::of(model, hosts, aim).fill().paths;
     let mut chains: Vec<Vec<usize>> = paths.into_iter().map(|path| path.0).collect();
     chains.retain(|chain| {
-        let is_new = chain.iter().all(|number| !seen[*number]);
+        let is_new = chain.iter().all(|index| !seen[*index]);
         if is_new {
-            chain.iter().for_each(|number| seen[*number] = true);
+            chain.iter().for_each(|index| seen[*index] = true);
         }
         is_new
     });
     chains
 }
 
-/// The model with the mean sizes of a demand as the usual ones.
-fn sized(model: &LayerModel, demand: &[Demand]) -> LayerModel {
-    let total: f64 = demand.iter().map(|asked| asked.per_s.max(0.0)).sum();
+/// Returns the model with the mean request size of a demand.
+fn with_mean_size(model: &LayerModel, demand: &[Demand]) -> LayerModel {
+    let total: f64 = demand.iter().map(|each| each.per_s.max(0.0)).sum();
     if total <= 0.0 {
         return model.clone();
     }
     let mean = |of: fn(&Demand) -> f64| -> f64 {
-        let parts = demand.iter().map(|asked| asked.per_s.max(0.0) * of(asked));
-        parts.sum::<f64>() / total
+        let weighted = demand.iter().map(|each| each.per_s.max(0.0) * of(each));
+        weighted.sum::<f64>() / total
     };
     LayerModel {
-        usual_prompt: mean(|asked| asked.prompt),
-        usual_answer: mean(|asked| asked.answer),
+        usual_prompt: mean(|each| each.prompt),
+        usual_answer: mean(|each| each.answer),
         ..model.clone()
     }
 }
--- a/reachtally-core/src/forward/placement/evaluate/fill.rs
+++ b/reachtally-core/src/forward/placement/evaluate/fill.rs
@@ -1,41 +1,44 @@
-//! Paths over engines, filled one after the other.
+//! Fills paths over engines one after the other.
 
 use crate::forward::cost::{LayerModel, WAIT_FACTOR};
 use crate::forward::path::MOST_PARTS;
 use crate::forward::placement::Host;
 use crate::forward::select::{Aim, HOP_MS, REMOTE_HOP_MS};
 
-/// Bounds on the requests of an engine that are tried, in parts of those for which first engines have places.
-const BOUNDS: [f64; 8] = [2.0, 1.4, 1.0, 0.7, 0.5, 0.35, 0.25, 0.15];
-/// Rounds in which a path's times and the rate of prompts that slows them settle.
-const ROUNDS: usize = 10;
-/// Most places of a first engine that count, where the configuration has no bound.
-const MOST_PLACES: f64 = 512.0;
-/// Least requests at once for which a path is worth counting.
-const LEAST: f64 = 0.01;
+/// Bounds on the concurrent requests of an engine that are tried, relative to the slots of the
+/// first engines.
+const LOAD_BOUNDS: [f64; 8] = [2.0, 1.4, 1.0, 0.7, 0.5, 0.35, 0.25, 0.15];
+/// Number of iterations in which the times of a path and the prompt rate that slows them down
+/// converge.
+const ITERATIONS: usize = 10;
+/// Maximum number of slots of a first engine if the configuration sets no limit.
+const MAX_SLOTS: f64 = 512.0;
+/// Minimum number of concurrent requests for which a path is considered.
+const MIN_LOAD: f64 = 0.01;
 
-/// What the next path is chosen by.
+/// How the cost of the next path is computed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Cost {
-    /// The time that its parts take.
-    Run,
-    /// The time that all layers would take which its engines hold, so that no engine's room goes for a few of its
-    /// layers.
-    Held,
+enum CostBasis {
+    /// Time of the layers that the parts run.
+    RunLayers,
+    /// Time of all layers that the engines hold, so that the capacity of an engine is not spent on
+    /// a few of its layers.
+    HeldLayers,
 }
 
-/// A fleet that was filled.
+/// The paths of a filled fleet.
 #[derive(Default)]
-pub(super) struct Filled {
-    /// Requests a second within the objectives.
+pub(super) struct FilledPaths {
+    /// Requests per second within the latency objectives.
     pub per_s: f64,
-    /// The engines of each path with its requests a second, in the order in which they were filled.
+    /// The engines of each path with its requests per second, in the order in which the paths were
+    /// filled.
     pub paths: Vec<(Vec<usize>, f64)>,
 }
 
-impl Filled {
-    /// Add what a group of engines serves; yields the states that result, or those from before.
-    fn add(&mut self, group: Option<(Filled, Vec<State>)>, before: Vec<State>) -> Vec<State> {
+impl FilledPaths {
+    /// Adds the result of a group of engines, if any, and returns the resulting engine states.
+    fn add(&mut self, group: Option<(FilledPaths, Vec<State>)>, before: Vec<State>) -> Vec<State> {
         let Some((filled, states)) = group else {
             return before;
         };
@@ -45,62 +48,63 @@
     }
 }
 
-/// Engines that hold layers.
-pub(super) struct Fleet<'a> {
+/// Fills the engines that hold layers.
+pub(super) struct PathFiller<'a> {
     model: &'a LayerModel,
     aim: Aim,
-    /// Numbers of their hosts, with the hosts.
+    /// Hosts with their indices in the input.
     engines: Vec<(usize, &'a Host)>,
-    /// Numbers in `engines` of each failure domain.
+    /// Indices in `engines` of each failure domain.
     domains: Vec<Vec<usize>>,
-    /// For each of `engines`, its part of the requests for which the first engines of its domain have places.
-    places: Vec<f64>,
+    /// For each of `engines`, its share of the requests for which the first engines of its domain
+    /// have slots.
+    slots: Vec<f64>,
 }
 
-/// One engine's part of a path.
+/// The part of a path that one engine runs.
 #[derive(Clone, Copy)]
 struct Part {
     engine: usize,
     layers: u32,
 }
 
-/// Parts with the time of a hop to each of them.
+/// Parts with the latency of a hop to each of them.
 struct Path {
     parts: Vec<Part>,
     hop_ms: f64,
 }
 
-/// What a path takes, in ms.
-struct Times {
-    /// As long as a request holds its room.
-    held: f64,
-    /// To the first token.
+/// Times of a path, in ms.
+struct PathTimes {
+    /// Duration of a request, during which it occupies KV capacity.
+    duration: f64,
+    /// Time to the first token.
     first: f64,
-    /// For a token.
+    /// Time per token.
     token: f64,
 }
 
-/// What an engine has left, and what it has to do.
+/// Remaining capacity of an engine, and the load that its times are computed for.
 #[derive(Clone, Copy)]
 struct State {
-    /// Requests at once that it has room for.
-    at_once: f64,
-    /// Requests a second whose prompts it can read.
+    /// Number of concurrent requests that it can still take.
+    concurrency: f64,
+    /// Requests per second whose prompts it can still prefill.
     per_s: f64,
-    /// Requests at once that its times are for.
-    most: f64,
+    /// Number of concurrent requests that its times are computed for.
+    load: f64,
 }
 
-/// The cheapest way to a layer.
+/// The cheapest path found up to some layer.
 #[derive(Clone, Copy)]
-struct Way {
+struct PartialPath {
     cost: f64,
     from: usize,
     engine: usize,
     parts: usize,
 }
 
-impl<'a> Fleet<'a> {
+impl<'a> PathFiller<'a> {
     pub fn of(model: &'a LayerModel, hosts: &'a [Host], aim: Aim) -> Self {
         let holds = |host: &Host| !host.layers.is_empty() && host.layers.end <= model.layers;
         let engines: Vec<(usize, &Host)> = hosts
@@ -114,38 +118,39 @@
         let members = |name: &&str| {
             let of = engines.iter().enumerate();
             of.filter(|(_, (_, host))| &*host.domain == *name)
-                .map(|(number, _)| number)
+                .map(|(index, _)| index)
                 .collect()
         };
         let domains: Vec<Vec<usize>> = names.iter().map(members).collect();
-        let mut places = vec![0.0; engines.len()];
+        let mut slots = vec![0.0; engines.len()];
         for domain in &domains {
-            set_places(model, &engines, domain, &mut places);
+            distribute_slots(model, &engines, domain, &mut slots);
         }
-        Fleet {
+        PathFiller {
             model,
             aim,
             domains,
             engines,
-            places,
+            slots,
         }
     }
 
-    /// Fill all engines: those of each failure domain with the bound that is best there, then what is left of all.
-    pub fn fill(&self) -> Filled {
-        let numbers = 0..self.engines.len();
-        let mut states: Vec<State> = numbers
+    /// Fills all engines: those of each failure domain with the best bound, then the remaining
+    /// capacity across domains.
+    pub fn fill(&self) -> FilledPaths {
+        let indices = 0..self.engines.len();
+        let mut states: Vec<State> = indices
             .clone()
             .map(|engine| self.state(engine, 1.0))
             .collect();
-        let mut all = Filled::default();
+        let mut all = FilledPaths::default();
         for domain in &self.domains {
-            let bounds = BOUNDS.iter().map(|bound| {
+            let bounds = LOAD_BOUNDS.iter().map(|bound| {
                 let mut states = states.clone();
                 for engine in domain {
                     states[*engine] = self.state(*engine, *bound);
                 }
-                self.better(domain, HOP_MS, states)
+                self.fill_best(domain, HOP_MS, states)
             });
             states = all.add(
                 bounds.max_by(|a, b| a.0.per_s.total_cmp(&b.0.per_s)),
@@ -153,77 +158,84 @@
             );
         }
         if self.domains.len() > 1 {
-            let engines: Vec<usize> = numbers.collect();
+            let engines: Vec<usize> = indices.collect();
             all.add(
-                Some(self.better(&engines, REMOTE_HOP_MS, states)),
+                Some(self.fill_best(&engines, REMOTE_HOP_MS, states)),
                 Vec::new(),
             );
         }
         all
     }
 
-    /// Fill some engines by the cost that serves more.
-    fn better(&self, group: &[usize], hop_ms: f64, states: Vec<State>) -> (Filled, Vec<State>) {
-        let [run, held] = [Cost::Run, Cost::Held].map(|cost| {
+    /// Fills a group of engines with the cost function that serves more requests.
+    fn fill_best(
+        &self,
+        group: &[usize],
+        hop_ms: f64,
+        states: Vec<State>,
+    ) -> (FilledPaths, Vec<State>) {
+        let [by_run, by_held] = [CostBasis::RunLayers, CostBasis::HeldLayers].map(|cost| {
             let mut states = states.clone();
-            let mut filled = Filled::default();
+            let mut filled = FilledPaths::default();
             self.fill_group(group, hop_ms, cost, &mut states, &mut filled);
             (filled, states)
         });
-        if run.0.per_s >= held.0.per_s {
-            run
+        if by_run.0.per_s >= by_held.0.per_s {
+            by_run
         } else {
-            held
+            by_held
         }
     }
 
     fn state(&self, engine: usize, bound: f64) -> State {
         let host = self.engines[engine].1;
         let layers = host.layers.len() as u32;
-        let most = match host.layers.start {
-            0 => (self.places[engine] * bound).min(places(self.model)),
-            _ => self.places[engine] * bound,
+        let load = match host.layers.start {
+            0 => (self.slots[engine] * bound).min(slots(self.model)),
+            _ => self.slots[engine] * bound,
         };
         let room = self.model.kv_tokens(&host.card, layers) / self.model.usual_context().max(1.0);
-        let batch = self.batch(host, most);
+        let batch = self.batch(host, load);
         let read_per_s = self.model.most_read_per_s(&host.card, layers, batch);
         State {
-            at_once: room.min(most),
+            concurrency: room.min(load),
             per_s: read_per_s / self.model.usual_prompt.max(1.0),
-            most,
+            load,
         }
     }
 
-    /// Requests whose tokens an engine steps together, when `most` are spread over the engines of a path.
-    fn batch(&self, host: &Host, most: f64) -> f64 {
-        (most * self.model.share(host.layers.len() as u32)).max(1.0)
+    /// Returns the batch size of an engine when `load` requests are spread over the engines
+    /// of a path.
+    fn batch(&self, host: &Host, load: f64) -> f64 {
+        (load * self.model.share(host.layers.len() as u32)).max(1.0)
     }
 
-    /// Time that an engine takes of a usual request for each layer, in ms.
+    /// Returns the time per layer that an engine spends on a request of mean size, in ms.
     fn layer_ms(&self, engine: usize, state: &State) -> f64 {
         let host = self.engines[engine].1;
         let layers = host.layers.len() as u32;
         let read_ms = self
             .model
             .read_ms(&host.card, layers, self.model.usual_prompt);
-        let batch = self.batch(host, state.most);
+        let batch = self.batch(host, state.load);
         let step_ms = self.model.step_ms(&host.card, layers, batch);
         WAIT_FACTOR * (read_ms + self.model.usual_answer * step_ms) / f64::from(layers)
     }
 
-    /// Add paths over some engines until none has room or the cheapest misses the objectives.
+    /// Adds paths over a group of engines until none has capacity or the cheapest misses the
+    /// objectives.
     fn fill_group(
         &self,
         group: &[usize],
         hop_ms: f64,
-        cost: Cost,
+        cost: CostBasis,
         states: &mut [State],
-        filled: &mut Filled,
+        filled: &mut FilledPaths,
     ) {
         let mut holders: Vec<Vec<(usize, f64)>> = vec![Vec::new(); self.model.layers as usize];
-        let has_room = |state: &State| state.at_once > LEAST && state.per_s > LEAST;
+        let has_capacity = |state: &State| state.concurrency > MIN_LOAD && state.per_s > MIN_LOAD;
         for engine in group {
-            if !has_room(&states[*engine]) {
+            if !has_capacity(&states[*engine]) {
                 continue;
             }
             let layer_ms = self.layer_ms(*engine, &states[*engine]);
@@ -236,97 +248,98 @@
                 return;
             };
             let path = Path { parts, hop_ms };
-            let Some((at_once, per_s)) = self.flow(&path, states) else {
+            let Some((concurrency, per_s)) = self.flow(&path, states) else {
                 return;
             };
             for part in &path.parts {
                 let state = &mut states[part.engine];
-                state.at_once -= at_once;
+                state.concurrency -= concurrency;
                 state.per_s -= per_s;
-                if !has_room(state) {
+                if !has_capacity(state) {
                     for layer in self.engines[part.engine].1.layers.clone() {
                         holders[layer as usize].retain(|(engine, _)| *engine != part.engine);
                     }
                 }
             }
             filled.per_s += per_s;
-            let numbers = path.parts.iter().map(|part| self.engines[part.engine].0);
-            filled.paths.push((numbers.collect(), per_s));
+            let indices = path.parts.iter().map(|part| self.engines[part.engine].0);
+            filled.paths.push((indices.collect(), per_s));
         }
     }
 
-    /// Requests at once and a second with which a path uses up one of its engines; `None` where they would miss the
-    /// objectives.
+    /// Returns the concurrent requests and the requests per second that saturate a path; `None` if
+    /// they would miss the latency objectives.
     fn flow(&self, path: &Path, states: &[State]) -> Option<(f64, f64)> {
-        let least = |of: fn(&State) -> f64| -> f64 {
+        let min_of = |of: fn(&State) -> f64| -> f64 {
             let each = path.parts.iter().map(|part| of(&states[part.engine]));
             each.fold(f64::INFINITY, f64::min)
         };
         let mut times = self.times(path, states, f64::INFINITY);
-        for _ in 0..ROUNDS {
-            times = self.times(path, states, times.held);
+        for _ in 0..ITERATIONS {
+            times = self.times(path, states, times.duration);
         }
         let gap_ms = times.token * self.model.stride.max(1.0);
-        let is_late = self.aim.first_ms.is_some_and(|most| times.first > most)
-            || self.aim.gap_ms.is_some_and(|most| gap_ms > most);
-        let room = least(|state| state.at_once);
-        let per_s = f64::min(room * 1000.0 / times.held, least(|state| state.per_s));
-        (!is_late).then_some((per_s * times.held / 1000.0, per_s))
+        let is_late = self.aim.first_ms.is_some_and(|limit| times.first > limit)
+            || self.aim.gap_ms.is_some_and(|limit| gap_ms > limit);
+        let room = min_of(|state| state.concurrency);
+        let per_s = f64::min(room * 1000.0 / times.duration, min_of(|state| state.per_s));
+        (!is_late).then_some((per_s * times.duration / 1000.0, per_s))
     }
 
-    /// What a path takes whose engines all run as many requests as their times are for, each of which lasts `held` ms.
-    fn times(&self, path: &Path, states: &[State], held: f64) -> Times {
+    /// Returns the times of a path whose engines all run the number of requests that their times
+    /// are computed for, each of which lasts `duration` ms.
+    fn times(&self, path: &Path, states: &[State], duration: f64) -> PathTimes {
         let (mut read, mut token) = (0.0, 0.0);
         for part in &path.parts {
             let host = self.engines[part.engine].1;
-            let most = states[part.engine].most;
+            let load = states[part.engine].load;
             let layers = host.layers.len() as u32;
-            let slowdown = self
-                .model
-                .reading_slowdown(&host.card, layers, most * 1000.0 / held);
+            let slowdown =
+                self.model
+                    .reading_slowdown(&host.card, layers, load * 1000.0 / duration);
             let busy = WAIT_FACTOR * slowdown;
             let prompt = self.model.usual_prompt;
             let step_ms = self
                 .model
-                .step_ms(&host.card, part.layers, self.batch(host, most));
+                .step_ms(&host.card, part.layers, self.batch(host, load));
             read += busy * self.model.read_ms(&host.card, part.layers, prompt) + path.hop_ms;
             token += busy * step_ms + path.hop_ms;
         }
-        Times {
-            held: (read + self.model.usual_answer * token).max(f64::MIN_POSITIVE),
+        PathTimes {
+            duration: (read + self.model.usual_answer * token).max(f64::MIN_POSITIVE),
             first: read + token,
             token,
         }
     }
 
-    /// The cheapest path over holders of layers.
+    /// Returns the cheapest path over the holders of each layer.
     fn cheapest(
         &self,
         holders: &[Vec<(usize, f64)>],
         hop_ms: f64,
-        cost: Cost,
+        cost: CostBasis,
     ) -> Option<Vec<Part>> {
-        let mut ways: Vec<Option<Way>> = vec![None; holders.len() + 1];
+        let mut paths: Vec<Option<PartialPath>> = vec![None; holders.len() + 1];
         let hops_ms = (self.model.usual_answer + 1.0) * hop_ms;
-        for (at, of_layer) in holders.iter().enumerate() {
-            let (so_far, parts) = match (at, ways[at]) {
+        for (at, holders_here) in holders.iter().enumerate() {
+            let (cost_so_far, parts) = match (at, paths[at]) {
                 (0, _) => (0.0, 0),
-                (_, Some(way)) => (way.cost, way.parts),
+                (_, Some(path)) => (path.cost, path.parts),
                 (_, None) => continue,
             };
             if parts == MOST_PARTS {
                 continue;
             }
-            for (engine, layer_ms) in of_layer {
-                let held = &self.engines[*engine].1.layers;
-                let end = held.end as usize;
-                let counted = match cost {
-                    Cost::Run => end - at,
-                    Cost::Held => held.len(),
+            for (engine, layer_ms) in holders_here {
+                let layers_held = &self.engines[*engine].1.layers;
+                let end = layers_held.end as usize;
+                let counted_layers = match cost {
+                    CostBasis::RunLayers => end - at,
+                    CostBasis::HeldLayers => layers_held.len(),
                 };
-                let cost = so_far + layer_ms * counted as f64 + hops_ms;
-                if ways[end].is_none_or(|known| cost < known.cost) {
-                    ways[end] = Some(Way {
+                let cost = cost_so_far + layer_ms * counted_layers as f64 + hops_ms;
+                if paths[end].is_none_or(|known| cost < known.cost) {
+                    paths[end] = Some(PartialPath {
                         cost,
                         from: at,
                         engine: *engine,
@@ -338,32 +351,38 @@
         let mut parts = Vec::new();
         let mut at = holders.len();
         while at > 0 {
-            let way = ways[at]?;
+            let path = paths[at]?;
             parts.push(Part {
-                engine: way.engine,
-                layers: (at - way.from) as u32,
+                engine: path.engine,
+                layers: (at - path.from) as u32,
             });
-            at = way.from;
+            at = path.from;
         }
         parts.reverse();
         (!parts.is_empty()).then_some(parts)
     }
 }
 
-/// Places of a first engine.
-fn places(model: &LayerModel) -> f64 {
-    f64::from(model.slots).min(MOST_PLACES)
+/// Returns the number of slots of a first engine.
+fn slots(model: &LayerModel) -> f64 {
+    f64::from(model.slots).min(MAX_SLOTS)
 }
 
-/// Share the places of a failure domain's first engines among those that hold the same layers.
-fn set_places(model: &LayerModel, engines: &[(usize, &Host)], domain: &[usize], all: &mut [f64]) {
+/// Distributes the slots of a failure domain's first engines over the engines that hold the same
+/// layers.
+fn distribute_slots(
+    model: &LayerModel,
+    engines: &[(usize, &Host)],
+    domain: &[usize],
+    all: &mut [f64],
+) {
     let mut holders = vec![0.0; model.layers as usize];
     for engine in domain {
         for layer in engines[*engine].1.layers.clone() {
             holders[layer as usize] += 1.0;
         }
     }
-    let total = holders.first().copied().unwrap_or(0.0_f64).max(1.0) * places(model);
+    let total = holders.first().copied().unwrap_or(0.0_f64).max(1.0) * slots(model);
     for engine in domain {
         let layers = engines[*engine].1.layers.clone();
         let count = layers.len() as f64;
--- a/reachtally-core/src/forward/placement/mod.rs
+++ b/reachtally-core/src/forward/placement/mod.rs
@@ -1,12 +1,14 @@
-//! Which layers each engine should hold.
+//! Assigns layers to engines.
 //!
-//! An empty group of engines is planned whole: chains are filled with the fastest cards first, for
-//! several amounts of KV, and the amount that makes them worth most wins. Fast cards together give
-//! short requests, which hold KV for less time. A group that already holds layers is only repaired:
-//! an empty engine takes the layers that lack KV most, and where a layer has much less of it than usual
-//! engines that can be spared are moved there.
+//! The assignment of an empty group of engines is planned as a whole: chains are filled with the
+//! fastest cards first, for several KV capacities, and the capacity that yields the highest value
+//! wins. Fast cards combined in one chain keep requests short, which then occupy KV capacity for
+//! less time. A group that already holds layers is only repaired: an empty engine takes the layers
+//! with the least KV capacity, and if a layer has much less capacity than the reference, engines
+//! that can be spared are moved there.
 //!
-//! A group with far more engines than it needs leaves the rest empty, as a reserve for losses and for more load.
+//! A group with far more engines than needed leaves the others empty, as a reserve for failures and
+//! load increases.
 
 mod chains;
 pub mod evaluate;
@@ -18,57 +20,59 @@
 use crate::forward::cost::{Card, LayerModel, Layers};
 use crate::forward::fleet::EngineKey;
 use chains::best_chains;
-use repair::Room;
+use repair::LayerCapacity;
 
 pub use chains::plan;
 
-/// Least KV of an engine, in usual requests; below it every second request would not fit.
-const LEAST_REQUESTS: f64 = 6.0;
+/// Minimum KV capacity of an engine, in mean requests. Below it, every second request would not
+/// fit.
+const MIN_REQUESTS: f64 = 6.0;
 
-/// Room for each layer up to which empty engines are placed whatever is in use, in that of the usual chain. Load can multiply within
-/// the time of a load of weights, and engines are lost in groups.
+/// KV capacity per layer up to which empty engines are filled whatever the load, in multiples of
+/// the reference chain. Load can multiply in the time it takes to load weights, and engines fail in
+/// groups.
 const READY_CHAINS: f64 = 16.0;
-/// The same in parts of the room that is in use.
-const HEADROOM: f64 = 4.0;
+/// KV capacity per layer up to which empty engines are filled, in multiples of the capacity in use.
+const HEADROOM_FACTOR: f64 = 4.0;
 
-/// An engine that may hold layers.
+/// An engine that can hold layers.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Host {
-    /// The engine.
+    /// The row of the engine.
     pub engine: EngineKey,
-    /// Orders engines that are alike, so that every box plans the same.
+    /// Orders otherwise equal engines, so that all boxes compute the same plan.
     pub id: Arc<str>,
-    /// Its failure domain.
+    /// The failure domain of the engine.
     pub domain: Arc<str>,
-    /// Its card.
+    /// The card of the engine.
     pub card: Card,
-    /// What it holds, or will once it has done what it was ordered.
+    /// The layers that the engine holds, or will hold after executing its current order.
     pub layers: Layers,
-    /// Requests that take part there.
+    /// Number of requests that run on the engine.
     pub running: f64,
 }
 
-/// How an engine gives up layers that requests pass.
+/// How an engine releases layers that requests use.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum GiveUp {
-    /// Once the last of them has ended.
+    /// After the last of these requests has ended.
     Wait,
-    /// At once: they go on elsewhere.
+    /// Immediately; the requests continue on other engines.
     Cut,
 }
 
 /// An engine and the layers it should hold.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Move {
-    /// The engine.
+    /// The row of the engine.
     pub engine: EngineKey,
     /// The layers.
     pub layers: Layers,
-    /// What becomes of requests that pass layers which it holds and should not.
+    /// What happens to requests that use layers which the engine releases.
     pub give_up: GiveUp,
 }
 
-/// What should be ordered now, for all engines of one service.
+/// Returns the changes to order now, for all engines of one service.
 pub fn moves(model: &LayerModel, hosts: &[Host]) -> Vec<Move> {
     let groups = groups(model, hosts);
     groups
@@ -77,7 +81,8 @@
         .collect()
 }
 
-/// Engines by failure domain; those of domains that can't hold the model alone are one group.
+/// Groups engines by failure domain. Domains that cannot hold the model alone form one common
+/// group.
 fn groups(model: &LayerModel, hosts: &[Host]) -> Vec<Vec<Host>> {
     let mut by_domain: BTreeMap<&str, Vec<Host>> = BTreeMap::new();
     for host in hosts {
@@ -86,15 +91,15 @@
             .or_default()
             .push(host.clone());
     }
-    let least = LEAST_REQUESTS * model.usual_context();
-    let whole = |group: &Vec<Host>| {
+    let min_kv = MIN_REQUESTS * model.usual_context();
+    let holds_model = |group: &Vec<Host>| {
         let layers: u32 = group
             .iter()
-            .map(|host| model.most_layers(&host.card, least))
+            .map(|host| model.most_layers(&host.card, min_kv))
             .sum();
         layers >= model.layers
     };
-    let (mut groups, rest): (Vec<_>, Vec<_>) = by_domain.into_values().partition(whole);
+    let (mut groups, rest): (Vec<_>, Vec<_>) = by_domain.into_values().partition(holds_model);
     if !rest.is_empty() {
         groups.push(rest.concat());
     }
@@ -107,22 +112,22 @@
         .filter(|host| host.layers.is_empty())
         .cloned()
         .collect();
-    let Some(usual) = usual_room(model, group) else {
+    let Some(reference) = reference_capacity(model, group) else {
         return Vec::new();
     };
-    let wanted = wanted_room(model, group, usual);
-    let room = Room::of(model, group, usual);
-    if room.least() == 0.0 && empty.len() * 2 >= group.len() {
-        let planned = plan(model, &empty, wanted);
+    let required = required_capacity(model, group, reference);
+    let capacity = LayerCapacity::of(model, group, reference);
+    if capacity.min_tokens() == 0.0 && empty.len() * 2 >= group.len() {
+        let planned = plan(model, &empty, required);
         if !planned.is_empty() {
             return planned;
         }
     }
-    repair::repair(model, group, usual, wanted)
+    repair::repair(model, group, reference, required)
 }
 
-/// KV tokens for each layer up to which empty engines are placed.
-fn wanted_room(model: &LayerModel, group: &[Host], usual: f64) -> f64 {
+/// Returns the KV tokens per layer up to which empty engines are filled.
+fn required_capacity(model: &LayerModel, group: &[Host], reference: f64) -> f64 {
     let mut in_use = vec![0.0; model.layers as usize];
     for host in group {
         let tokens = host.running * model.usual_context();
@@ -132,21 +137,21 @@
             }
         }
     }
-    let most = in_use.into_iter().fold(0.0, f64::max);
-    (READY_CHAINS * usual).max(HEADROOM * most)
+    let max_in_use = in_use.into_iter().fold(0.0, f64::max);
+    (READY_CHAINS * reference).max(HEADROOM_FACTOR * max_in_use)
 }
 
-/// KV tokens of the smallest engine in the chain that an empty group would get first; `None` if the
-/// group can't hold the model.
-fn usual_room(model: &LayerModel, group: &[Host]) -> Option<f64> {
+/// Returns the KV tokens of the smallest engine in the first chain that the group would form if it
+/// were empty; `None` if the group cannot hold the model.
+fn reference_capacity(model: &LayerModel, group: &[Host]) -> Option<f64> {
     let chains = best_chains(model, group);
     let first = chains.first().into_iter().flatten();
     let tokens =
-        first.map(|(host, placed)| model.kv_tokens(&host.card, placed.layers.len() as u32));
+        first.map(|(host, assigned)| model.kv_tokens(&host.card, assigned.layers.len() as u32));
     tokens.min_by(f64::total_cmp)
 }
 
-/// The fastest first, then the largest, then by id.
+/// Orders engines by speed, then by memory, both descending, then by id.
 fn by_speed(a: &Host, b: &Host) -> std::cmp::Ordering {
     let speed = a.card.step_factor.total_cmp(&b.card.step_factor);
     let size = b.card.memory_mb.total_cmp(&a.card.memory_mb);
--- a/reachtally-core/src/forward/placement/repair.rs
+++ b/reachtally-core/src/forward/placement/repair.rs
@@ -1,42 +1,43 @@
-//! What a group that holds layers already should change.
+//! Incremental changes to a group that already holds layers.
 
-use super::{GiveUp, Host, LEAST_REQUESTS, Move, by_speed};
+use super::{GiveUp, Host, MIN_REQUESTS, Move, by_speed};
 use crate::forward::cost::{LayerModel, Layers};
 
-/// Room that empty engines are placed for, in parts of the usual: above 1, so that they add to what is
-/// there.
-const SPARE_GOAL: f64 = 1.35;
-/// Room below which engines are moved to a layer, in parts of the usual.
-const MOVE_GOAL: f64 = 0.7;
-/// What may be lacking after a move, in parts of what was before: each move costs a load and the use
-/// of the engine for seconds.
-const MOVE_GAIN: f64 = 0.9;
-/// Most engines moved at once; loads that run together slow each other.
-const MOST_MOVES: u32 = 3;
-
-/// What loading a layer costs, in parts of the room that it should have: of two moves that serve alike,
-/// the one that loads less is done sooner.
+/// KV capacity up to which empty engines are assigned, relative to the reference. Above 1, so that
+/// they add to the existing capacity.
+const SPARE_CAPACITY: f64 = 1.35;
+/// KV capacity below which engines are moved to a layer, relative to the reference.
+const MOVE_THRESHOLD: f64 = 0.7;
+/// Maximum cost after a move, relative to the deficit before it. Each move costs a load of weights
+/// and takes the engine out of service for seconds.
+const MAX_COST_AFTER_MOVE: f64 = 0.9;
+/// Maximum number of engines moved at once, since concurrent loads slow each other down.
+const MAX_MOVES: u32 = 3;
+
+/// Cost of loading a layer, relative to the capacity that it should have. Of two moves with the
+/// same effect, the one that loads less completes sooner.
 const LOAD_COST: f64 = 0.02;
 
-/// KV tokens that engines have for each layer, all together. The requests that a group can run at once
-/// are bounded by the layer with the least.
+/// Total KV tokens of the engines for each layer. The layer with the least limits the number of
+/// concurrent requests of a group.
 #[derive(Debug, Clone)]
-pub(super) struct Room {
+pub(super) struct LayerCapacity {
     tokens: Vec<f64>,
-    /// What one engine counts for at most: more than the rest of a chain has is of no use.
+    /// Maximum capacity that one engine contributes; more than the rest of its chain has is
+    /// useless.
     cap: f64,
 }
 
-impl Room {
+impl LayerCapacity {
     pub(super) fn of(model: &LayerModel, group: &[Host], cap: f64) -> Self {
-        let mut room = Room {
+        let mut capacity = LayerCapacity {
             tokens: vec![0.0; model.layers as usize],
             cap,
         };
         for host in group {
-            room.add(model, host, &host.layers, 1.0);
+            capacity.add(model, host, &host.layers, 1.0);
         }
-        room
+        capacity
     }
 
     fn add(&mut self, model: &LayerModel, host: &Host, layers: &Layers, sign: f64) {
@@ -49,22 +50,22 @@
         }
     }
 
-    pub(super) fn least(&self) -> f64 {
+    pub(super) fn min_tokens(&self) -> f64 {
         self.tokens.iter().copied().fold(f64::INFINITY, f64::min)
     }
 
-    /// What the layers lack of `goal`, all together. A layer that nobody holds counts double, since
-    /// nothing runs without it.
-    fn lack(&self, goal: f64) -> f64 {
-        let lack = |held: &f64| match *held <= 0.0 {
+    /// Returns the total deficit of the layers relative to `goal`. A layer that no engine holds
+    /// counts double, since nothing runs without it.
+    fn deficit(&self, goal: f64) -> f64 {
+        let deficit = |held: &f64| match *held <= 0.0 {
             true => 2.0 * goal,
             false => (goal - held).max(0.0),
         };
-        self.tokens.iter().map(lack).sum()
+        self.tokens.iter().map(deficit).sum()
     }
 
-    /// How much more the group could serve with an engine's room at `layers`: the sum of each layer's relative
-    /// gain, which is larger where there is less.
+    /// Returns how much more the group could serve with the capacity of an engine at `layers`: the
+    /// sum of the relative gains of the layers, which are larger where capacity is scarce.
     fn gain(&self, model: &LayerModel, host: &Host, layers: &Layers) -> f64 {
         let tokens = model.kv_tokens(&host.card, layers.len() as u32);
         let tokens = tokens.min(self.cap);
@@ -75,15 +76,16 @@
         each.sum()
     }
 
-    /// Whether some layers have the room that is asked for.
-    fn suffices(&self, layers: &Layers, goal: f64) -> bool {
+    /// Whether each of `layers` has at least the capacity `goal`.
+    fn is_sufficient(&self, layers: &Layers, goal: f64) -> bool {
         layers
             .clone()
             .all(|layer| self.tokens[layer as usize] >= goal)
     }
 
-    /// Where runs of layers with equal room begin, and where an engine's own layers do.
-    fn starts_beside(&self, own: &Layers) -> Vec<u32> {
+    /// Returns the layers at which the capacity changes, and the first layer of an engine's own
+    /// range.
+    fn range_starts(&self, own: &Layers) -> Vec<u32> {
         let is_start = |at: &usize| {
             *at == 0 || self.tokens[*at] != self.tokens[*at - 1] || *at == own.start as usize
         };
@@ -94,121 +96,139 @@
     }
 }
 
-/// Layers for an engine, and what they cost: what is lacking with them and what the change takes, both in
-/// KV tokens, summed over layers.
-struct Candidate {
+/// A range of layers for an engine with its cost: the remaining deficit plus the cost of the
+/// change, both in KV tokens summed over layers.
+struct RangeOption {
     cost: f64,
     layers: Layers,
 }
 
-/// The room that a group should have.
-struct Goal<'a> {
+/// The capacity that a group should have.
+struct CapacityGoal<'a> {
     model: &'a LayerModel,
-    /// Tokens that each layer should have.
+    /// KV tokens that each layer should have.
     tokens: f64,
 }
 
-impl Goal<'_> {
-    /// What the change of an engine to `layers` takes: the room in use at layers that it gives up, and the
-    /// time of its load.
-    fn change(&self, host: &Host, layers: &Layers) -> f64 {
+impl CapacityGoal<'_> {
+    /// Returns the cost of moving an engine to `layers`: the capacity in use at layers that it
+    /// releases, and the time to load new layers.
+    fn change_cost(&self, host: &Host, layers: &Layers) -> f64 {
         let holds = |layer: &u32| host.layers.contains(layer);
-        let kept = layers.clone().filter(holds).count();
-        let given_up = host.layers.len() - kept;
-        let loaded = layers.len() - kept;
+        let retained = layers.clone().filter(holds).count();
+        let released = host.layers.len() - retained;
+        let loaded = layers.len() - retained;
         let in_use = host.running * self.model.usual_context();
-        given_up as f64 * in_use + loaded as f64 * self.tokens * LOAD_COST
+        released as f64 * in_use + loaded as f64 * self.tokens * LOAD_COST
     }
 
-    /// The layers for an engine that cost least, given the room without it.
-    fn best_layers(&self, host: &Host, room: &Room) -> Option<Candidate> {
-        let options = ranges(self.model, host, room).map(|layers| {
-            let mut with = room.clone();
+    /// Returns the cheapest layers for an engine, given the capacity without it.
+    fn best_layers(&self, host: &Host, capacity: &LayerCapacity) -> Option<RangeOption> {
+        let options = ranges(self.model, host, capacity).map(|layers| {
+            let mut with = capacity.clone();
             with.add(self.model, host, &layers, 1.0);
-            let cost = with.lack(self.tokens) + self.change(host, &layers);
-            Candidate { cost, layers }
+            let cost = with.deficit(self.tokens) + self.change_cost(host, &layers);
+            RangeOption { cost, layers }
         });
         options.min_by(|a, b| a.cost.total_cmp(&b.cost))
     }
 }
 
-/// Layers that an engine may hold beside its least KV, from each place where the room changes.
-fn ranges(model: &LayerModel, host: &Host, room: &Room) -> impl Iterator<Item = Layers> {
-    let least = LEAST_REQUESTS * model.usual_context();
-    let most = model.most_layers(&host.card, least);
+/// Returns the ranges of layers that leave an engine its minimum KV capacity, from each layer at
+/// which the capacity changes.
+fn ranges(
+    model: &LayerModel,
+    host: &Host,
+    capacity: &LayerCapacity,
+) -> impl Iterator<Item = Layers> {
+    let min_kv = MIN_REQUESTS * model.usual_context();
+    let max = model.most_layers(&host.card, min_kv);
     let end = model.layers;
-    let starts = room.starts_beside(&host.layers).into_iter();
-    starts.flat_map(move |start| (1..=most.min(end - start)).map(move |count| start..start + count))
+    let starts = capacity.range_starts(&host.layers).into_iter();
+    starts.flat_map(move |start| (1..=max.min(end - start)).map(move |count| start..start + count))
 }
 
-/// The layers with which an empty engine adds most to a group that lacks nothing. Without it such an engine got the
-/// layer `0..1` alone, and each loss left the fleet smaller.
-fn most_useful(model: &LayerModel, host: &Host, room: &Room) -> Option<Layers> {
-    let options = ranges(model, host, room);
-    let gains = options.map(|layers| (room.gain(model, host, &layers), layers));
+/// Returns the layers with which an empty engine gains most in a group without a deficit. Without
+/// this rule, such an engine was assigned the layer `0..1` only, and each loss left the fleet
+/// smaller.
+fn highest_gain(model: &LayerModel, host: &Host, capacity: &LayerCapacity) -> Option<Layers> {
+    let options = ranges(model, host, capacity);
+    let gains = options.map(|layers| (capacity.gain(model, host, &layers), layers));
     let best = gains.max_by(|a, b| a.0.total_cmp(&b.0).then(b.1.len().cmp(&a.1.len())));
     best.map(|(_, layers)| layers)
 }
 
-/// Give empty engines the layers that lack room most, and move engines whose layers have enough room
-/// without them; any engine, where nobody holds some layer. Moving others would only carry the lack to
-/// another place, while requests pass there. Once each layer has `wanted` tokens, empty engines stay empty.
-pub(super) fn repair(model: &LayerModel, group: &[Host], usual: f64, wanted: f64) -> Vec<Move> {
+/// Assigns the layers with the least capacity to empty engines, and moves engines whose layers have
+/// enough capacity without them. If no engine holds some layer, any engine may be moved; otherwise
+/// moving an engine that is needed would only shift the deficit while requests run there. Empty
+/// engines stay empty once each layer has `required` tokens.
+pub(super) fn repair(
+    model: &LayerModel,
+    group: &[Host],
+    reference: f64,
+    required: f64,
+) -> Vec<Move> {
     let mut hosts: Vec<Host> = group.to_vec();
     hosts.sort_by(by_speed);
-    let mut room = Room::of(model, &hosts, usual);
+    let mut capacity = LayerCapacity::of(model, &hosts, reference);
     let mut moves = Vec::new();
-    let spare = Goal {
+    let spare = CapacityGoal {
         model,
-        tokens: usual * SPARE_GOAL,
+        tokens: reference * SPARE_CAPACITY,
     };
     for host in hosts.iter_mut().filter(|host| host.layers.is_empty()) {
-        if room.least() >= wanted {
+        if capacity.min_tokens() >= required {
             break;
         }
-        let layers = match room.least() >= spare.tokens {
-            true => most_useful(model, host, &room),
-            false => spare.best_layers(host, &room).map(|best| best.layers),
+        let layers = match capacity.min_tokens() >= spare.tokens {
+            true => highest_gain(model, host, &capacity),
+            false => spare.best_layers(host, &capacity).map(|best| best.layers),
         };
         if let Some(layers) = layers {
-            apply(model, host, &mut room, layers, &mut moves);
+            apply(model, host, &mut capacity, layers, &mut moves);
         }
     }
-    let goal = Goal {
+    let goal = CapacityGoal {
         model,
-        tokens: usual * MOVE_GOAL,
+        tokens: reference * MOVE_THRESHOLD,
     };
-    for _ in 0..MOST_MOVES {
-        if room.lack(goal.tokens) <= 0.0 {
+    for _ in 0..MAX_MOVES {
+        if capacity.deficit(goal.tokens) <= 0.0 {
             break;
         }
-        let Some((at, best)) = best_move(&goal, &hosts, &room, &moves) else {
+        let Some((at, best)) = best_move(&goal, &hosts, &capacity, &moves) else {
             break;
         };
-        if best.cost >= room.lack(goal.tokens) * MOVE_GAIN {
+        if best.cost >= capacity.deficit(goal.tokens) * MAX_COST_AFTER_MOVE {
             break;
         }
-        apply(model, &mut hosts[at], &mut room, best.layers, &mut moves);
+        apply(
+            model,
+            &mut hosts[at],
+            &mut capacity,
+            best.layers,
+            &mut moves,
+        );
     }
     moves
 }
 
-/// The engine whose move costs least, and its layers.
+/// Returns the engine whose move costs least, with its layers.
 fn best_move(
-    goal: &Goal<'_>,
+    goal: &CapacityGoal<'_>,
     hosts: &[Host],
-    room: &Room,
+    capacity: &LayerCapacity,
     moves: &[Move],
-) -> Option<(usize, Candidate)> {
-    let has_hole = room.least() <= 0.0;
-    let is_moved = |host: &Host| moves.iter().any(|placed| placed.engine == host.engine);
+) -> Option<(usize, RangeOption)> {
+    let has_unheld_layer = capacity.min_tokens() <= 0.0;
+    let is_moved = |host: &Host| moves.iter().any(|assigned| assigned.engine == host.engine);
     let options = hosts.iter().enumerate().filter_map(|(at, host)| {
         if is_moved(host) {
             return None;
         }
-        let mut without = room.clone();
+        let mut without = capacity.clone();
         without.add(goal.model, host, &host.layers, -1.0);
-        if !has_hole && !without.suffices(&host.layers, goal.tokens) {
+        if !has_unheld_layer && !without.is_sufficient(&host.layers, goal.tokens) {
             return None;
         }
         Some((at, goal.best_layers(host, &without)?))
@@ -216,21 +236,22 @@
     options.min_by(|a, b| a.1.cost.total_cmp(&b.1.cost))
 }
 
-/// Take a move into account. A group is of no use while nobody holds some layer, so then requests that pass
-/// what is given up are not waited for: the failure domain would serve nothing meanwhile.
+/// Applies a move. While no engine holds some layer the group cannot serve requests, so a move then
+/// does not wait for requests on the released layers: the failure domain would serve nothing in the
+/// meantime.
 fn apply(
     model: &LayerModel,
     host: &mut Host,
-    room: &mut Room,
+    capacity: &mut LayerCapacity,
     layers: Layers,
     moves: &mut Vec<Move>,
 ) {
-    let give_up = match room.least() <= 0.0 {
+    let give_up = match capacity.min_tokens() <= 0.0 {
         true => GiveUp::Cut,
         false => GiveUp::Wait,
     };
-    room.add(model, host, &host.layers, -1.0);
-    room.add(model, host, &layers, 1.0);
+    capacity.add(model, host, &host.layers, -1.0);
+    capacity.add(model, host, &layers, 1.0);
     host.layers = layers.clone();
     moves.push(Move {
         engine: host.engine,
--- a/reachtally-core/src/forward/stall.rs
+++ b/reachtally-core/src/forward/stall.rs
@@ -1,7 +1,7 @@
-//! Which engines have stopped making progress, judged from the events of all streams of this box.
+//! Detects engines that have stopped making progress from the events of all streams of this box.
 //!
-//! One stream may pause for many reasons. An engine on which *every* stream of this box has paused,
-//! although several run there, has very probably died or been cut off.
+//! A single stream may pause for many reasons. If several streams run on an engine and *all* of
+//! them have paused, the engine has very probably died or become unreachable.
 
 use std::time::Duration;
 
@@ -10,83 +10,88 @@
 use crate::forward::fleet::EngineKey;
 use crate::time::Instant;
 
-/// Least silence that counts, however fast the path is: scheduling and queues cause shorter ones.
+/// Minimum silence that counts as a stall, whatever the speed of the path. Scheduling and queueing
+/// cause shorter pauses.
 pub const LEAST_SILENCE: Duration = Duration::from_millis(60);
-/// Least silence that counts, in expected gaps between events. Silence only leads to a question whether the
-/// engines are there, which costs a connection; the answer decides. With twice as many, streams over slow chains would go on
-/// only after the pause that callers allow.
-const LEAST_GAPS: f64 = 2.0;
-/// Most silence that is waited for, in expected gaps.
+/// Minimum silence that counts as a stall, in expected gaps between events. It only triggers a
+/// check whether the engines are reachable, which costs a connection; the result of the check
+/// decides. With twice this value, streams over slow chains would continue only after the pause
+/// that callers tolerate.
+const MIN_GAPS: f64 = 2.0;
+/// Maximum silence to wait for, in expected gaps between events.
 pub const MOST_GAPS: f64 = 4.0;
-/// Silence after which the engines of a stream are looked at if all other streams there are silent too, in expected gaps. That is
-/// stronger evidence than one stream's, and callers allow few gaps without an event.
-const LEAST_GAPS_OF_ALL: f64 = 1.6;
-/// Deviations of the gaps that are waited for beside the mean one, as in the retransmission timer of TCP. Where
-/// gaps come unevenly, since KV or reading binds, a fixed number of gaps would ask twice as often.
-const DEVIATIONS: f64 = 4.0;
+/// Silence, in expected gaps, after which the engines of a stream are checked if all other streams
+/// on them are silent too. This is stronger evidence than the silence of one stream, and callers
+/// tolerate few gaps without an event.
+const SHARED_SILENCE_GAPS: f64 = 1.6;
+/// Number of mean deviations added to the mean gap, as in the retransmission timeout of TCP. Where
+/// gaps vary because KV capacity or prefill is the bottleneck, a fixed multiple of the mean would
+/// trigger twice as many checks.
+const TIMEOUT_DEVIATIONS: f64 = 4.0;
 
-/// When each engine last took part in an event.
+/// The time of the last event of each engine.
 #[derive(Debug, Default)]
 pub struct Progress {
     last: SecondaryMap<EngineKey, Instant>,
 }
 
 impl Progress {
-    /// An event came over these engines.
+    /// Records an event of a stream that runs on `engines`.
     pub fn note(&mut self, engines: &[EngineKey], now: Instant) {
         for key in engines {
             self.last.insert(*key, now);
         }
     }
 
-    /// Those of `engines` without an event since `since`.
+    /// Returns those of `engines` that had no event after `since`.
     pub fn silent_since(&self, engines: &[EngineKey], since: Instant) -> Vec<EngineKey> {
-        let silent = |key: &&EngineKey| self.last.get(**key).is_none_or(|at| *at <= since);
-        engines.iter().filter(silent).copied().collect()
+        let is_silent = |key: &&EngineKey| self.last.get(**key).is_none_or(|at| *at <= since);
+        engines.iter().filter(is_silent).copied().collect()
     }
 }
 
-/// How a stream's events have come so far.
+/// Running mean and deviation of the gaps between the events of a stream.
 #[derive(Debug, Clone, Copy)]
 pub struct Gaps {
     mean: f64,
     deviation: f64,
 }
 
-/// Deviation that is expected at first, in gaps.
-const FIRST_DEVIATION: f64 = 0.25;
+/// Initial deviation, relative to the mean gap.
+const INITIAL_DEVIATION: f64 = 0.25;
 /// Weight of a new gap in the running mean.
 const GAP_WEIGHT: f64 = 0.2;
 /// Weight of a new gap in the running deviation.
 const DEVIATION_WEIGHT: f64 = 0.25;
 
 impl Gaps {
-    /// Before the first event of a path with this gap between events.
+    /// Creates the initial estimate for a path with the expected gap `gap` between events.
     pub fn expected(gap: Duration) -> Self {
         let mean = gap.as_secs_f64();
         Gaps {
             mean,
-            deviation: mean * FIRST_DEVIATION,
+            deviation: mean * INITIAL_DEVIATION,
         }
     }
 
-    /// An event came after this gap.
+    /// Records an event that came `gap` after the previous one.
     pub fn note(&mut self, gap: Duration) {
         let error = gap.as_secs_f64() - self.mean;
         self.deviation += DEVIATION_WEIGHT * (error.abs() - self.deviation);
         self.mean += GAP_WEIGHT * error;
     }
 
-    /// Time without an event after which the stream is overdue if all others over the same engine are silent as well.
+    /// Returns the silence after which the stream counts as stalled if all other streams on the
+    /// same engine are silent too.
     pub fn due_after(&self) -> Duration {
-        let silence = Duration::from_secs_f64(LEAST_GAPS_OF_ALL * self.mean);
+        let silence = Duration::from_secs_f64(SHARED_SILENCE_GAPS * self.mean);
         silence.max(LEAST_SILENCE).min(self.overdue_after())
     }
 
-    /// Time without an event after which the stream is overdue.
+    /// Returns the silence after which the stream counts as stalled on its own.
     pub fn overdue_after(&self) -> Duration {
-        let silence = self.mean + DEVIATIONS * self.deviation;
-        let bounded = silence.clamp(LEAST_GAPS * self.mean, MOST_GAPS * self.mean);
+        let silence = self.mean + TIMEOUT_DEVIATIONS * self.deviation;
+        let bounded = silence.clamp(MIN_GAPS * self.mean, MOST_GAPS * self.mean);
         Duration::from_secs_f64(bounded).max(LEAST_SILENCE)
     }
 }
