--- a/reachtally-core/src/forward/admission/booking.rs
+++ b/reachtally-core/src/forward/admission/booking.rs
@@ -1,24 +1,26 @@
-//! How far requests may book the calculated room of paths, learned from what engines refuse.
+//! Learns from refusals how far requests may overbook the estimated KV capacity of paths.
 //!
-//! Engines know their room exactly, a box only calculates it. Where nothing is refused, booking beyond the room serves more callers, since
-//! first engines queue the excess for a moment. Where engines refuse, each refused send costs a retry whatever the rank of its request, so
-//! that admission has to begin earlier.
+//! Engines know their free capacity exactly, while a box only estimates it. If engines refuse
+//! nothing, overbooking serves more callers, since first engines queue the excess briefly. If
+//! engines refuse requests, each refused send costs a retry regardless of the rank of its request,
+//! so admission control must start earlier.
 
 use super::Rate;
 use crate::time::Instant;
 
-/// Part of the calculated room that may be booked where engines refuse little.
-const MOST_BOOKED: f64 = 1.25;
-/// The same where engines refuse much.
-const LEAST_BOOKED: f64 = 1.0;
-/// Fraction of refused sends up to which the most is booked.
-const TOLERATED: f64 = 0.05;
-/// Fraction of refused sends from which the least is booked.
-const EXCESSIVE: f64 = 0.3;
-/// Sends without a refusal that count beside the recent ones, so that a single refusal says little.
+/// Maximum utilization of the estimated capacity, used while engines refuse little.
+const MAX_UTILIZATION: f64 = 1.25;
+/// Maximum utilization of the estimated capacity while engines refuse much.
+const MIN_UTILIZATION: f64 = 1.0;
+/// Fraction of refused sends up to which overbooking is not reduced.
+const TOLERATED_REFUSALS: f64 = 0.05;
+/// Fraction of refused sends from which nothing is overbooked.
+const EXCESSIVE_REFUSALS: f64 = 0.3;
+/// Number of accepted sends added to the recent ones as a prior, so that a single refusal has
+/// little effect.
 const PRIOR_SENDS: f64 = 3.0;
 
-/// Recent sends to the engines of a service, and how many of them were refused for want of room.
+/// Rate of recent sends to the engines of a service, and of those refused for lack of capacity.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct Booking {
     sent: Rate,
@@ -26,20 +28,20 @@
 }
 
 impl Booking {
-    /// Counts a send.
+    /// Records a send.
     pub fn sent(&mut self, now: Instant) {
         self.sent.count(now);
     }
 
-    /// Counts a send that an engine refused for want of room.
+    /// Records a send that an engine refused for lack of capacity.
     pub fn refused(&mut self, now: Instant) {
         self.refused.count(now);
     }
 
-    /// Part of the calculated room of a path that may be booked.
+    /// Returns the maximum utilization of the estimated capacity of a path.
     pub fn bound(&self, now: Instant) -> f64 {
         let refused = self.refused.at(now) / (self.sent.at(now) + PRIOR_SENDS);
-        let excess = (refused - TOLERATED) / (EXCESSIVE - TOLERATED);
-        MOST_BOOKED - (MOST_BOOKED - LEAST_BOOKED) * excess.clamp(0.0, 1.0)
+        let excess = (refused - TOLERATED_REFUSALS) / (EXCESSIVE_REFUSALS - TOLERATED_REFUSALS);
+        MAX_UTILIZATION - (MAX_UTILIZATION - MIN_UTILIZATION) * excess.clamp(0.0, 1.0)
     }
 }
--- a/reachtally-core/src/forward/admission/mix.rs
+++ b/reachtally-core/src/forward/admission/mix.rs
@@ -1,4 +1,4 @@
-//! The mix of recent requests by class, and how many were admitted.
+//! Distribution of recent requests over classes, and the rate of admissions.
 
 use std::time::Duration;
 
@@ -6,20 +6,21 @@
 use crate::forward::rate::left;
 use crate::time::Instant;
 
-/// Time constant of the mix. A box with few requests of the most urgent rank must not forget between two of them that they come.
-const SMOOTHING: Duration = Duration::from_millis(4000);
+/// Time constant of the distribution. Long enough that a box that receives few requests of the most
+/// urgent rank remembers them between two arrivals.
+const TIME_CONSTANT: Duration = Duration::from_millis(4000);
 
-/// Recent requests for one service, counted with exponential decay.
+/// Recent requests of one service, counted with exponential decay.
 #[derive(Debug, Clone, Default)]
 pub struct Mix {
-    /// By class, the most urgent first.
+    /// Counts by class, most urgent first.
     offered: Vec<f64>,
     admitted: Rate,
     at: Instant,
 }
 
 impl Mix {
-    /// Counts a request of the class at `position` of `classes`.
+    /// Records a request of the class with index `position` of `classes`.
     pub fn count(&mut self, position: usize, classes: usize, now: Instant) {
         self.decay(now);
         self.offered.resize(classes, 0.0);
@@ -28,12 +29,12 @@
         }
     }
 
-    /// Counts a request that was admitted.
+    /// Records an admitted request.
     pub fn count_admitted(&mut self, now: Instant) {
         self.admitted.count(now);
     }
 
-    /// Fractions of the recent requests by class; all 0 before the first.
+    /// Returns the fraction of recent requests per class; all 0 before the first request.
     pub fn fractions(&self) -> Vec<f64> {
         let all: f64 = self.offered.iter().sum();
         let each = self.offered.iter();
@@ -41,13 +42,13 @@
             .collect()
     }
 
-    /// Mean rate of admitted requests, a second.
+    /// Returns the mean rate of admitted requests per second.
     pub fn admitted_rate(&self, now: Instant) -> f64 {
         self.admitted.at(now)
     }
 
     fn decay(&mut self, now: Instant) {
-        let left = left(self.at, now, SMOOTHING);
+        let left = left(self.at, now, TIME_CONSTANT);
         self.at = self.at.max(now);
         self.offered.iter_mut().for_each(|count| *count *= left);
     }
--- a/reachtally-core/src/forward/admission/mod.rs
+++ b/reachtally-core/src/forward/admission/mod.rs
@@ -1,8 +1,11 @@
-//! Admission: whether a request is sent now, waits in this box, or is refused, by its rank and the use of what would serve it.
+//! Admission control: decides by rank and utilization whether a request is sent now, queued in this
+//! box, or refused.
 //!
-//! Trunk reservation: a request is admitted while the believed use of its best path or instance leaves room for what more urgent requests
-//! take up until this box hears of others again. So less urgent requests are refused first, and the most urgent are refused only where
-//! nothing serves them in time. Each box decides alone, from the loads that it holds anyway.
+//! This is trunk reservation: a request is admitted while the estimated utilization of its best
+//! path or instance leaves room for what more urgent requests occupy until the next load reports of
+//! other boxes arrive. Less urgent requests are therefore refused first, and the most urgent ones
+//! only if nothing serves them in time. Each box decides alone, from the load reports that it
+//! receives anyway.
 
 use std::time::Duration;
 
@@ -23,47 +26,54 @@
 pub use pacer::{Pace, Pacer, Running};
 pub use queue::{Bounds, Entrant, Full, Order, Queue};
 pub use reserve::{MOST_RESERVED, reserve};
-use reserve::{level_needed, wanted_before};
+use reserve::{more_urgent_demand, required_level};
 pub use returns::Returns;
 pub use schedule::{LATEST_RETURN, Schedule};
 
 pub use crate::forward::shares::Standing;
 
-/// Age of what a box believes of the requests of others: two reports, of 0.2 s each, and their ways.
+/// Age of a box's information about requests of other boxes: two reports, 0.2 s apart, and their
+/// transmission.
 pub const REACTION: Duration = Duration::from_millis(500);
-/// Part of a request's objective, counted from its arrival, for which it waits in a box at most. The other half is for its answer.
+/// Maximum fraction of a request's objective, counted from its arrival, that it waits in a box. The
+/// other half is left for its answer.
 pub const WAIT_PART: f64 = 0.5;
-/// Time constant, in ms, with which earlier events count less: rates have followed a step in demand after two of them, in which the
-/// system is to be steady again.
-const SMOOTHING_MS: u64 = 1000;
+/// Time constant of the decay of past events, in ms. Rates follow a step in demand after two time
+/// constants, the time in which the system must be stable again.
+const TIME_CONSTANT_MS: u64 = 1000;
 /// Mean rate of recent events.
-type Rate = MeanRate<SMOOTHING_MS>;
-/// Longest time that an excess is taken to drain in; keeps times finite where numbers are without reason.
-const LONGEST_DRAIN: Duration = Duration::from_secs(60);
-/// Most of the capacity below which a box goes by its pace: with less in use, requests that it refused would find room.
-const MOST_GROWTH: f64 = 0.5;
-/// Least mean duration of requests, so that rates stay finite.
-const LEAST_HELD: Duration = Duration::from_millis(1);
-
-/// Position of a request's priority among the priorities that the configuration has for its service; 0 is the most urgent.
+type Rate = MeanRate<TIME_CONSTANT_MS>;
+/// Maximum time in which excess load is assumed to drain; keeps times finite for implausible
+/// inputs.
+const MAX_DRAIN: Duration = Duration::from_secs(60);
+/// Maximum fraction of the capacity that is left free before pacing applies. At lower utilization,
+/// requests that the pace refuses would still find capacity.
+const MAX_GROWTH: f64 = 0.5;
+/// Minimum mean duration of requests; keeps rates finite.
+const MIN_DURATION: Duration = Duration::from_millis(1);
+
+/// Index of a request's priority among the priorities configured for its service; 0 is the most
+/// urgent.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Rank(pub u8);
 
-/// What admission distinguishes requests by.
+/// The properties by which admission distinguishes requests.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Class {
-    /// Its rank.
+    /// The rank of the request.
     pub rank: Rank,
-    /// Its standing. `Beyond` is less urgent than all ranks.
+    /// Whether the request is within the share of its account. `Beyond` is less urgent than all
+    /// ranks.
     pub standing: Standing,
-    /// Whether its caller has had a part of the answer.
+    /// Whether the caller has already received part of the answer.
     pub is_resumed: bool,
-    /// Whether this box refused it before, and it returns no earlier than it was told.
+    /// Whether this box refused the request before and it is retried no earlier than announced.
     pub is_return: bool,
 }
 
 impl Class {
-    /// Position among the classes of a service, the most urgent first: its ranks, then requests beyond their account's share.
+    /// Returns the index among the classes of a service, most urgent first: the ranks, then
+    /// requests beyond the share of their account.
     pub fn position(self, ranks: usize) -> usize {
         match self.standing {
             Standing::Within => usize::from(self.rank.0).min(ranks.saturating_sub(1)),
@@ -72,77 +82,77 @@
     }
 }
 
-/// What the best known path or instance offers.
+/// Utilization and latency of the best known path or instance.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Offer {
-    /// Largest fraction of any engine's room or slots in use, including this request, as believed. May exceed 1; infinite where nothing
-    /// can be sent before something ends.
+    /// Highest estimated utilization of any engine's KV capacity or slots, including this request.
+    /// May exceed 1; infinite if nothing can be sent before a running request ends.
     pub used: f64,
     /// Expected time to the first event, or to the answer of a plain service.
     pub first: Duration,
 }
 
-/// Inputs of admission for one request beside its class and offer.
+/// Inputs of the admission of one request, other than its class and offer.
 #[derive(Debug, Clone, Copy)]
 pub struct Conditions<'a> {
     /// Mean duration of the service's requests.
     pub held: Duration,
-    /// Age of what is known of other boxes' requests.
+    /// Age of the information about requests of other boxes.
     pub reaction: Duration,
-    /// Fractions of the recent requests by class, by [`Class::position`].
+    /// Fractions of recent requests by class, indexed by [`Class::position`].
     pub mix: &'a [f64],
-    /// Time in which the answer is to begin, from arrival.
+    /// Time from arrival by which the answer must begin.
     pub objective: Duration,
     /// Time since arrival.
     pub waited: Duration,
-    /// How this box is placed to admit requests near the limit.
+    /// The pace at which this box admits requests near the limit.
     pub pace: Pace,
-    /// Requests of the service that wait in this box before it.
+    /// Number of requests of the service queued in this box before this one.
     pub ahead: usize,
 }
 
 impl Conditions<'_> {
-    /// Mean duration of requests, finite and not zero, in seconds.
-    fn held_s(&self) -> f64 {
-        self.held.max(LEAST_HELD).as_secs_f64()
+    /// Returns the mean duration of requests in seconds, finite and above zero.
+    fn duration_s(&self) -> f64 {
+        self.held.max(MIN_DURATION).as_secs_f64()
     }
 }
 
-/// When a refused caller may return.
+/// When the caller of a refused request may retry.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Retry {
-    /// Time until there is probably room for a request of its class.
+    /// Time until there is probably capacity for a request of its class.
     pub after: Duration,
 }
 
-/// What becomes of a request.
+/// The admission decision on a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Verdict {
-    /// It is sent.
+    /// The request is sent.
     Admit,
-    /// It waits; there is probably room for it after this time.
+    /// The request is queued; there is probably capacity for it after this time.
     Wait(Duration),
-    /// It is refused without having run.
+    /// The request is refused without having run.
     Refuse(Retry),
 }
 
-/// Decides on a request. Without an offer nothing known serves it, and it is refused.
+/// Decides on a request. Without an offer, no known target serves the request and it is refused.
 pub fn admit(class: Class, offer: Option<Offer>, cx: &Conditions<'_>) -> Verdict {
     if class.is_resumed {
         return Verdict::Admit;
     }
     let Some(offer) = offer else {
-        let after = cx.held.min(LONGEST_DRAIN);
+        let after = cx.held.min(MAX_DRAIN);
         return Verdict::Refuse(Retry { after });
     };
-    let growth = cx.pace.growth.clamp(0.0, MOST_GROWTH);
-    let kept = reserve(class, cx).max(growth);
-    let excess = offer.used - (1.0 - kept);
-    // A use that is no number says nothing against a path that was found.
+    let growth = cx.pace.growth.clamp(0.0, MAX_GROWTH);
+    let reserved = reserve(class, cx).max(growth);
+    let excess = offer.used - (1.0 - reserved);
+    // A NaN utilization is no reason to refuse, since a path was found.
     if excess.is_nan() || excess <= 0.0 {
         return Verdict::Admit;
     }
-    if excess.is_finite() && lacking(class, cx) <= 0.0 {
+    if excess.is_finite() && missing_permits(class, cx) <= 0.0 {
         return Verdict::Admit;
     }
     let drain = drain(class, cx);
@@ -153,28 +163,31 @@
     }
 }
 
-/// Longest time from its arrival for which a request with this objective waits in a box.
+/// Returns the maximum time from its arrival that a request with this objective is queued in a box.
 pub fn patience(objective: Duration) -> Duration {
-    // The largest duration is no objective, and times a half it is still a duration.
+    // `Duration::MAX` stands for no objective; half of it is still a valid duration.
     objective.mul_f64(WAIT_PART)
 }
 
-/// Requests that the pace lacks to admit one of this class after those that wait before it.
-fn lacking(class: Class, cx: &Conditions<'_>) -> f64 {
+/// Returns the number of permits missing until the pacer admits a request of this class after those
+/// queued before it.
+fn missing_permits(class: Class, cx: &Conditions<'_>) -> f64 {
     let Pace { level, kept, .. } = cx.pace;
-    (level_needed(class, cx) - level) * kept + cx.ahead as f64
+    (required_level(class, cx) - level) * kept + cx.ahead as f64
 }
 
-/// Time until the pace admits a request of this class, by what it leaves beside more urgent requests.
+/// Returns the time until the pacer admits a request of this class, from the rate that more urgent
+/// requests leave.
 fn drain(class: Class, cx: &Conditions<'_>) -> Duration {
-    // Also where none has ended lately, one of those that run will within their mean duration.
-    let rate = cx.pace.rate.max(1.0 / cx.held_s());
-    let left = rate * (1.0 - wanted_before(class, cx));
-    let seconds = lacking(class, cx) / left;
-    let most = LONGEST_DRAIN.as_secs_f64();
-    // Where more urgent requests want all of it, there is no such time.
+    // Even if no request has ended recently, one of those running will end within their mean
+    // duration.
+    let rate = cx.pace.rate.max(1.0 / cx.duration_s());
+    let left = rate * (1.0 - more_urgent_demand(class, cx));
+    let seconds = missing_permits(class, cx) / left;
+    let most = MAX_DRAIN.as_secs_f64();
+    // If more urgent requests take the whole rate, no such time exists.
     match left > 0.0 && seconds.is_finite() {
         true => Duration::from_secs_f64(seconds.clamp(0.0, most)),
-        false => LONGEST_DRAIN,
+        false => MAX_DRAIN,
     }
 }
--- a/reachtally-core/src/forward/admission/offer.rs
+++ b/reachtally-core/src/forward/admission/offer.rs
@@ -1,19 +1,22 @@
-//! What a choice offers to a request.
+//! Converts the result of a selection to an admission offer.
 
 use std::time::Duration;
 
-use super::{LEAST_HELD, Offer};
+use super::{MIN_DURATION, Offer};
 use crate::forward::select::{Choice, Instance};
 
-/// Most rounds of requests at an instance of a plain service, those that it runs included, as far as admission goes. The
-/// load of an instance is known from its last answer only, so more would be counted on numbers that are long outdated.
-const MOST_ROUNDS: f64 = 2.0;
-/// Part of the objective that fits the rounds: requests run longer than the mean, and loads are outdated when they are known.
-const WAIT_SHARE: f64 = 0.33;
-/// Longest time expected; keeps times finite where numbers are without reason.
-const LONGEST_FIRST: Duration = Duration::from_secs(3600);
+/// Maximum number of rounds of requests admitted to an instance of a plain service, including the
+/// running round. The load of an instance is known only from its last answer, so a higher limit
+/// would rely on outdated numbers.
+const MAX_ROUNDS: f64 = 2.0;
+/// Fraction of the objective available for the rounds. Requests may run longer than the mean, and
+/// load information is outdated when it arrives.
+const ROUNDS_FRACTION: f64 = 0.33;
+/// Maximum expected time; keeps times finite for implausible inputs.
+const MAX_FIRST: Duration = Duration::from_secs(3600);
 
-/// The offer of a path, of whose calculated room the part `booked` may be booked: its use in parts of that.
+/// Returns the offer of a path whose estimated capacity may be used up to the fraction `booked`;
+/// its utilization is relative to that.
 pub fn path_offer(choice: &Choice, booked: f64) -> Offer {
     Offer {
         used: choice.used / booked,
@@ -21,25 +24,26 @@
     }
 }
 
-/// The offer of an instance of a plain service, where requests take `held` on average once they run. Its slots are not all of its
-/// capacity: it queues requests, and as many rounds of them as fit a third of `objective`, the shortest of the service, are answered in
-/// time.
+/// Returns the offer of an instance of a plain service whose requests run for `held` on average.
+/// Its capacity exceeds its slots: it queues requests, and as many rounds of them as fit into a
+/// third of `objective`, the shortest one of the service, are answered in time.
 pub fn instance_offer(instance: &Instance, held: Duration, objective: Duration) -> Offer {
-    let held_s = held.max(LEAST_HELD).as_secs_f64();
-    let rounds = WAIT_SHARE * objective.as_secs_f64() / held_s;
-    // The larger of a number and 0 is a number.
-    let in_use = instance.used.max(0.0);
-    let first_s = (held_s * in_use.max(1.0)).min(LONGEST_FIRST.as_secs_f64());
+    let duration_s = held.max(MIN_DURATION).as_secs_f64();
+    let rounds = ROUNDS_FRACTION * objective.as_secs_f64() / duration_s;
+    // Replaces NaN by 0.
+    let utilization = instance.used.max(0.0);
+    let first_s = (duration_s * utilization.max(1.0)).min(MAX_FIRST.as_secs_f64());
     Offer {
-        used: in_use / rounds.clamp(1.0, MOST_ROUNDS),
+        used: utilization / rounds.clamp(1.0, MAX_ROUNDS),
         first: Duration::from_secs_f64(first_s),
     }
 }
 
-/// The offer of instances to which this box has all of its part of the connections in use, where requests take `held` on average.
+/// Returns the offer of instances for which this box has used up its share of the connections,
+/// where requests run for `held` on average.
 pub fn no_connection_offer(held: Duration) -> Offer {
     Offer {
         used: f64::INFINITY,
-        first: held.min(LONGEST_FIRST).saturating_mul(2),
+        first: held.min(MAX_FIRST).saturating_mul(2),
     }
 }
--- a/reachtally-core/src/forward/admission/queue.rs
+++ b/reachtally-core/src/forward/admission/queue.rs
@@ -1,43 +1,43 @@
-//! Requests that wait in a box, in the order in which they are admitted.
+//! Requests queued in a box, in admission order.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
 use crate::time::Instant;
 
-/// How much may wait.
+/// Limits of the queue.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Bounds {
-    /// Requests.
+    /// Maximum number of requests.
     pub count: usize,
-    /// Bytes of their bodies.
+    /// Maximum total size of their bodies, in bytes.
     pub bytes: usize,
 }
 
-/// A request that is to wait.
+/// A request to be queued.
 #[derive(Debug, Clone)]
 pub struct Entrant {
-    /// Its service.
+    /// The service of the request.
     pub service: Arc<str>,
-    /// Whether its caller has had a part of the answer.
+    /// Whether the caller has already received part of the answer.
     pub is_resumed: bool,
-    /// Position of its class, the most urgent first.
+    /// Index of the request's class, most urgent first.
     pub position: usize,
-    /// Its account.
+    /// The account of the caller.
     pub account: Option<Arc<str>>,
-    /// When its caller stops waiting.
+    /// When the caller stops waiting.
     pub deadline: Instant,
-    /// Size of its body.
+    /// Size of the body, in bytes.
     pub bytes: usize,
 }
 
-/// Place of a request in the queue; the first is the least.
+/// Position of a request in the queue; the smallest is first.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Order {
-    /// Resumed streams are first.
+    /// False for resumed streams, which are first.
     is_new: bool,
     position: usize,
-    /// Requests of its account that were before it, so that accounts take turns.
+    /// Number of requests of the same account queued before, so that accounts take turns.
     turn: usize,
     deadline: Instant,
     number: u64,
@@ -47,7 +47,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Full;
 
-/// Requests that wait, each with what `T` wakes it.
+/// Queued requests, each with a value `T` that wakes it.
 #[derive(Debug)]
 pub struct Queue<T> {
     bounds: Bounds,
@@ -67,12 +67,15 @@
         }
     }
 
-    /// Adds a request. In a full queue it takes the place of requests after it; yields its own place and what wakes those.
+    /// Adds a request. In a full queue it evicts requests behind it. Returns its position and the
+    /// wakers of evicted requests.
     ///
     /// # Errors
-    /// [`Full`]: all that wait are before it, or it is larger than what is after it.
+    ///
+    /// Returns [`Full`] if all queued requests are ahead of it, or if evicting those behind it does
+    /// not free enough space.
     pub fn join(&mut self, entrant: Entrant, waker: T) -> Result<(Order, Vec<T>), Full> {
-        let turn = self.turn_of(&entrant);
+        let turn = self.count_like(&entrant);
         self.count += 1;
         let order = Order {
             is_new: !entrant.is_resumed,
@@ -81,27 +84,28 @@
             deadline: entrant.deadline,
             number: self.count,
         };
-        let replaced = self.replaced_by(&order, entrant.bytes)?;
-        let wakers = replaced.iter().filter_map(|order| self.leave(order));
+        let evicted = self.evicted_by(&order, entrant.bytes)?;
+        let wakers = evicted.iter().filter_map(|order| self.leave(order));
         let wakers = wakers.collect();
         self.bytes += entrant.bytes;
         self.entries.insert(order, (entrant, waker));
         Ok((order, wakers))
     }
 
-    /// Removes a request; yields what wakes it, if it still had its place.
+    /// Removes a request and returns its waker if it was still queued.
     pub fn leave(&mut self, order: &Order) -> Option<T> {
         let (entrant, waker) = self.entries.remove(order)?;
         self.bytes -= entrant.bytes;
         Some(waker)
     }
 
-    /// Whether a request has its place.
+    /// Whether a request is still queued.
     pub fn has(&self, order: &Order) -> bool {
         self.entries.contains_key(order)
     }
 
-    /// Number of requests for `service` that are before `order`; before a new one at `position` if that is not given.
+    /// Returns the number of requests for `service` ahead of `order`, or ahead of a new request
+    /// with class index `position` if `order` is `None`.
     pub fn ahead(&self, service: &str, position: usize, order: Option<&Order>) -> usize {
         let is_ahead = |other: &Order| match order {
             Some(order) => other < order,
@@ -112,7 +116,8 @@
             .count()
     }
 
-    /// What wakes the first request for `service`, of those after `after` if that is given.
+    /// Returns the waker of the first request for `service`, only considering those behind `after`
+    /// if given.
     pub fn first(&self, service: &str, after: Option<&Order>) -> Option<&T> {
         let mut of_service = self.entries.iter().filter(|(order, (entrant, _))| {
             &*entrant.service == service && after.is_none_or(|after| *order > after)
@@ -120,7 +125,7 @@
         of_service.next().map(|(_, (_, waker))| waker)
     }
 
-    /// The services for which requests wait.
+    /// Returns the services with queued requests.
     pub fn services(&self) -> Vec<Arc<str>> {
         let each = self.entries.values();
         let mut services: Vec<Arc<str>> =
@@ -130,35 +135,35 @@
         services
     }
 
-    /// Number of requests that wait.
+    /// Returns the number of queued requests.
     pub fn len(&self) -> usize {
         self.entries.len()
     }
 
-    /// Whether none waits.
+    /// Whether the queue is empty.
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
 
-    /// Bytes of the bodies that wait.
+    /// Returns the total size of the queued bodies, in bytes.
     pub fn bytes(&self) -> usize {
         self.bytes
     }
 
-    /// Requests of the same class and account that wait already.
-    fn turn_of(&self, entrant: &Entrant) -> usize {
-        let is_like = |other: &&(Entrant, T)| {
+    /// Returns the number of queued requests of the same service, class and account.
+    fn count_like(&self, entrant: &Entrant) -> usize {
+        let is_same_class = |other: &&(Entrant, T)| {
             let (other, _) = other;
             other.service == entrant.service
                 && other.position == entrant.position
                 && other.account == entrant.account
         };
-        self.entries.values().filter(is_like).count()
+        self.entries.values().filter(is_same_class).count()
     }
 
-    /// The requests after `order` that have to go for it.
-    fn replaced_by(&self, order: &Order, bytes: usize) -> Result<Vec<Order>, Full> {
-        let mut replaced = Vec::new();
+    /// Returns the requests behind `order` that must be evicted to make room for it.
+    fn evicted_by(&self, order: &Order, bytes: usize) -> Result<Vec<Order>, Full> {
+        let mut evicted = Vec::new();
         let (mut count, mut held) = (self.entries.len(), self.bytes);
         let mut last = self.entries.iter().rev();
         while count >= self.bounds.count || held.saturating_add(bytes) > self.bounds.bytes {
@@ -166,10 +171,10 @@
             else {
                 return Err(Full);
             };
-            replaced.push(*later);
+            evicted.push(*later);
             count -= 1;
             held -= entrant.bytes;
         }
-        Ok(replaced)
+        Ok(evicted)
     }
 }
--- a/reachtally-core/src/forward/admission/reserve.rs
+++ b/reachtally-core/src/forward/admission/reserve.rs
@@ -1,56 +1,60 @@
-//! The part of the capacity that is kept for more urgent requests.
+//! The fraction of the capacity that is reserved for more urgent requests.
 
 use super::{Class, Conditions, Standing};
 
-/// Most of the capacity that is kept for more urgent requests. More would leave capacity unused under a load that is mostly less urgent.
+/// Maximum fraction of the capacity reserved for more urgent requests. A higher limit would waste
+/// capacity when most of the load is less urgent.
 pub const MOST_RESERVED: f64 = 0.3;
 
-/// Returns the fraction of the capacity that more urgent requests take up within the reaction time: until then this box does not hear
-/// that they came. 0 for the most urgent class, and where nothing more urgent came lately.
+/// Returns the fraction of the capacity that more urgent requests occupy within the reaction time,
+/// before this box learns of those admitted elsewhere. 0 for the most urgent class, or if no more
+/// urgent request arrived recently.
 pub fn reserve(class: Class, cx: &Conditions<'_>) -> f64 {
-    let renewed = cx.reaction.as_secs_f64() / cx.held_s();
-    (renewed * more_urgent(class, cx)).min(MOST_RESERVED)
+    let renewed = cx.reaction.as_secs_f64() / cx.duration_s();
+    (renewed * more_urgent_fraction(class, cx)).min(MOST_RESERVED)
 }
 
-/// Returns the level of [`Pace`](super::Pace) from which a request of this class is admitted near the limit: what more urgent requests
-/// want of the pace stays there for them. The most urgent ones may take some in advance, which the others then go without.
-pub(super) fn level_needed(class: Class, cx: &Conditions<'_>) -> f64 {
-    2.0 * wanted_before(class, cx) - 1.0
+/// Returns the level of [`Pace`](super::Pace) from which a request of this class is admitted near
+/// the limit, so that the permits that more urgent requests need are left to them. The most urgent
+/// requests may borrow permits, which the others then have to wait for.
+pub(super) fn required_level(class: Class, cx: &Conditions<'_>) -> f64 {
+    2.0 * more_urgent_demand(class, cx) - 1.0
 }
 
-/// The fraction of the pace that more urgent requests want.
-pub(super) fn wanted_before(class: Class, cx: &Conditions<'_>) -> f64 {
-    let more_urgent = more_urgent(class, cx);
-    match more_urgent > 0.0 {
-        // The lesser of a number and 1 is a number.
-        true => (more_urgent * cx.pace.demand.max(0.0)).min(1.0),
-        // Also where nothing may be admitted, which no part of makes a number.
+/// Returns the fraction of the pace that more urgent requests use.
+pub(super) fn more_urgent_demand(class: Class, cx: &Conditions<'_>) -> f64 {
+    let more_urgent_fraction = more_urgent_fraction(class, cx);
+    match more_urgent_fraction > 0.0 {
+        // `f64::min` returns 1 if the demand is NaN.
+        true => (more_urgent_fraction * cx.pace.demand.max(0.0)).min(1.0),
+        // Also avoids NaN where the demand is infinite.
         false => 0.0,
     }
 }
 
-/// The fraction of the recent requests that is more urgent. For a request that returns as it was told, halfway to that of the next more
-/// urgent rank: with the whole of it, less urgent requests that return would have as much of the capacity as the most urgent.
-fn more_urgent(class: Class, cx: &Conditions<'_>) -> f64 {
+/// Returns the fraction of recent requests that is more urgent. For a request that is retried as
+/// announced, the rank counts as halfway to the next more urgent one. With the full step, retried
+/// requests would get as much of the capacity as the most urgent ones.
+fn more_urgent_fraction(class: Class, cx: &Conditions<'_>) -> f64 {
     let ranks = cx.mix.len().saturating_sub(1);
     let position = match class.standing {
-        // The mix of a service without a place for the rank has nothing on it either.
+        // If the mix has no entry for the rank, no request of it was counted either.
         Standing::Within => usize::from(class.rank.0).min(ranks),
         Standing::Beyond => ranks,
     };
     let before = |position: usize| -> f64 {
         let each = cx.mix[..position].iter().copied();
-        each.map(fraction).sum::<f64>().min(1.0)
+        each.map(clamp_fraction).sum::<f64>().min(1.0)
     };
-    // A flood beyond its account's share gains nothing by returning.
+    // An account that floods beyond its share gains nothing by retrying.
     match class.is_return && class.standing == Standing::Within {
         true => (before(position) + before(position.saturating_sub(1))) / 2.0,
         false => before(position),
     }
 }
 
-/// A fraction, whatever the number.
-fn fraction(number: f64) -> f64 {
+/// Clamps a number to `[0, 1]`, with 0 for NaN.
+fn clamp_fraction(number: f64) -> f64 {
     match number.is_nan() {
         true => 0.0,
         false => number.clamp(0.0, 1.0),
--- a/reachtally-core/src/forward/admission/schedule.rs
+++ b/reachtally-core/src/forward/admission/schedule.rs
@@ -1,27 +1,31 @@
-//! When refused callers may return.
+//! Schedules the retries of refused requests.
 
 use std::time::Duration;
 
 use crate::time::Instant;
 
-/// Latest time to return.
+/// Maximum time until a retry.
 pub const LATEST_RETURN: Duration = Duration::from_secs(3);
-/// Part of a caller's remaining time after which it returns at the latest: it has to be answered then, and perhaps refused once more.
-const MOST_OF_LEFT: f64 = 1.0 / 3.0;
-/// Rate at which return times are handed out at least, a second: a box that has admitted nothing lately still has to be tried again.
-const LEAST_RATE: f64 = 2.0;
+/// Maximum fraction of a caller's remaining time until its retry. The request must still be
+/// answered after that, and may be refused once more.
+const MAX_FRACTION_OF_TIME_LEFT: f64 = 1.0 / 3.0;
+/// Minimum rate of scheduled retries per second, since a box that has admitted nothing recently
+/// must still be probed.
+const MIN_RATE: f64 = 2.0;
 
-/// Return times that a box hands out for one service, one after the other at the rate at which it admits requests.
+/// Schedules the retries of one service one after another, at the rate at which the box admits
+/// requests.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct Schedule {
-    /// The last time handed out.
+    /// The last retry time assigned.
     last: Instant,
 }
 
 impl Schedule {
-    /// Time until a caller may return: not before the excess has drained, in `drain`, and in the next free slot of the schedule, which has
-    /// `rate` of them a second. Where the schedule reaches beyond what the caller can wait for, `draw` spreads the returns over the later
-    /// half of that time instead, so that they do not come as one wave.
+    /// Returns the time until a caller may retry: after the excess load has drained, which takes
+    /// `drain`, and in the next free slot of the schedule, which has `rate` slots per second. If
+    /// that is later than the caller can wait, retries are spread randomly by `draw` over the
+    /// second half of the available time, to avoid a wave of simultaneous retries.
     pub fn next(
         &mut self,
         drain: Duration,
@@ -30,16 +34,16 @@
         draw: u64,
         now: Instant,
     ) -> Duration {
-        let latest = left.mul_f64(MOST_OF_LEFT).min(LATEST_RETURN);
-        let rate = if rate.is_finite() { rate } else { LEAST_RATE };
-        let step = Duration::from_secs_f64(1.0 / rate.max(LEAST_RATE));
-        let free = self.last.max(now + drain) + step;
-        let after = free.since(now);
+        let latest = left.mul_f64(MAX_FRACTION_OF_TIME_LEFT).min(LATEST_RETURN);
+        let rate = if rate.is_finite() { rate } else { MIN_RATE };
+        let interval = Duration::from_secs_f64(1.0 / rate.max(MIN_RATE));
+        let next_slot = self.last.max(now + drain) + interval;
+        let after = next_slot.since(now);
         if after <= latest {
-            self.last = free;
+            self.last = next_slot;
             return after;
         }
-        let spread = (draw % 1000) as f64 / 1000.0;
-        latest.mul_f64(0.5 + spread / 2.0)
+        let fraction = (draw % 1000) as f64 / 1000.0;
+        latest.mul_f64(0.5 + fraction / 2.0)
     }
 }
--- a/reachtally-core/src/forward/select/judge.rs
+++ b/reachtally-core/src/forward/select/judge.rs
@@ -55,7 +55,8 @@
 
 impl PathScore {
     fn new(totals: &PathTotals, model: &LayerModel, aim: Aim) -> Self {
-        let fraction = |ms: f64, aim_ms: Option<f64>| aim_ms.map_or(0.0, |aim| ms / aim.max(1.0));
+        let fraction =
+            |ms: f64, limit_ms: Option<f64>| limit_ms.map_or(0.0, |limit| ms / limit.max(1.0));
         PathScore {
             price: totals.price,
             duration_ms: totals.ranking_first_ms() + model.usual_answer * totals.token_ms,
@@ -76,8 +77,10 @@
     /// Linearizes the cost around these values, so that the contributions of the engines add up.
     fn weights(&self, model: &LayerModel, aim: Aim) -> Weights {
         let miss_cost = MISS_PENALTY / self.miss_factor();
-        let slope = |fraction: f64, aim_ms: Option<f64>| {
-            aim_ms.map_or(0.0, |aim| miss_cost * miss_slope(fraction) / aim.max(1.0))
+        let slope = |fraction: f64, limit_ms: Option<f64>| {
+            limit_ms.map_or(0.0, |limit| {
+                miss_cost * miss_slope(fraction) / limit.max(1.0)
+            })
         };
         let duration = 1.0 / self.duration_ms.max(f64::MIN_POSITIVE);
         let gap = slope(self.gap_fraction, aim.gap_ms) * model.stride.max(1.0);
--- a/reachtally-core/src/forward/shares/aggregator.rs
+++ b/reachtally-core/src/forward/shares/aggregator.rs
@@ -1,4 +1,4 @@
-//! Sums of rates at a collector, and the shares that follow from them.
+//! Aggregates request rates at a collector and computes the resulting shares.
 
 use std::collections::{BTreeMap, HashMap};
 use std::net::IpAddr;
@@ -6,43 +6,49 @@
 use std::time::Duration;
 
 use super::max_min::{Group, max_min};
-use super::usage::largest;
+use super::usage::highest_rates;
 use super::{
     ACCOUNTS_ANSWERED, ACCOUNTS_OF_DOMAIN, AccountFraction, AccountRate, AccountRates,
-    MOST_SERVICES, SHARE_LIFE, ServiceRates, ServiceShare,
+    MOST_SERVICES, SHARE_TTL, ServiceRates, ServiceShare,
 };
 use crate::forward::limit::DemandRate;
 use crate::forward::quarantine::AccountDigest;
 use crate::ids::Incarnation;
 use crate::time::Instant;
 
-/// Least time between two sums; bounds the work of a collector with hundreds of boxes.
-const SUM_INTERVAL: Duration = Duration::from_millis(100);
-/// Part of what is admitted that is shared out. Requests within their share that take up all of the capacity are refused now and then
-/// as they come at random; what is left goes to requests beyond it.
-const SHARED: f64 = 0.95;
-/// Part of its share by which an account may exceed it unnoticed.
-const TOLERANCE: f64 = 0.25;
-/// The same in standard deviations of a rate; of hundreds of accounts below the share some have two at any time.
-const DEVIATIONS: f64 = 3.0;
-/// An account may have at least this fraction of what all accounts together are served, in parts of what they ask for.
+/// Minimum interval between two aggregations; limits the work of a collector with hundreds of
+/// boxes.
+const AGGREGATION_INTERVAL: Duration = Duration::from_millis(100);
+/// Fraction of the admitted rate that is shared. If requests within their share took up the whole
+/// capacity, random variation would cause some of them to be refused. The rest goes to requests
+/// beyond their share.
+const SHARED_FRACTION: f64 = 0.95;
+/// Fraction of the share by which an account may exceed it without being limited.
+const TOLERATED_EXCESS: f64 = 0.25;
+/// The same in standard deviations of a rate. Of hundreds of accounts below the share, some exceed
+/// two deviations at any time.
+const TOLERATED_DEVIATIONS: f64 = 3.0;
+/// Minimum fraction of an account's requests within its share, relative to the fraction of all
+/// requests that is served.
 pub const LEAST_SERVED: f64 = 0.25;
-/// Fraction of what is offered below which nothing is shared: when nearly nothing is admitted, the rates say nothing of a capacity.
-const LEAST_ADMITTED: f64 = 0.01;
-/// Time after which an account that is not above the share counts as back within it; rates vary around the share.
-const WITHIN_SETTLED: Duration = Duration::from_secs(2);
+/// Minimum fraction of offered requests that must be admitted for shares to be computed. If almost
+/// nothing is admitted, the rates do not indicate a capacity.
+const MIN_ADMITTED_FRACTION: f64 = 0.01;
+/// Time after which an account that no longer exceeds the share counts as within it again, since
+/// rates fluctuate around the share.
+const WITHIN_DELAY: Duration = Duration::from_secs(2);
 
-/// Rates that a box or a collector reported of one service.
+/// The rates of one service received from a box or a collector.
 #[derive(Debug)]
-struct Received {
+struct ReceivedRates {
     number: u64,
     at: Instant,
     rates: ServiceRates,
 }
 
-impl Received {
+impl ReceivedRates {
     fn is_valid(&self, now: Instant) -> bool {
-        now.since(self.at) < SHARE_LIFE
+        now.since(self.at) < SHARE_TTL
     }
 }
 
@@ -50,12 +56,12 @@
 #[derive(Debug)]
 struct Sender {
     run: Incarnation,
-    services: BTreeMap<Arc<str>, Received>,
+    services: BTreeMap<Arc<str>, ReceivedRates>,
 }
 
-/// Sum of the rates of one service.
+/// Total rates of one service.
 #[derive(Debug, Default)]
-struct Sum {
+struct RateSum {
     is_contended: bool,
     offered: f64,
     admitted: f64,
@@ -63,12 +69,12 @@
     accounts: HashMap<AccountDigest, f64>,
 }
 
-impl Sum {
+impl RateSum {
     fn add(&mut self, rates: &ServiceRates) {
         self.is_contended |= rates.is_contended;
         self.offered += rates.offered.per_second();
         self.admitted += rates.admitted.per_second();
-        // Boxes mostly have the same accounts, so their numbers are not added.
+        // Boxes mostly see the same accounts, so their counts are not added up.
         self.count = self.count.max(rates.count);
         for each in &rates.accounts {
             *self.accounts.entry(each.account).or_default() += each.rate.per_second();
@@ -84,7 +90,7 @@
             account: *account,
             rate: DemandRate::new(*rate),
         });
-        largest(each.collect(), most)
+        highest_rates(each.collect(), most)
     }
 
     fn rates(&self, service: &Arc<str>) -> ServiceRates {
@@ -98,7 +104,8 @@
         }
     }
 
-    /// The accounts that are known only in sum, as equal ones: none of them is larger than the smallest that is listed.
+    /// Returns the accounts that are only known in total, as accounts of equal rate. None of them
+    /// has a higher rate than the smallest listed one.
     fn unlisted(&self, listed: &[AccountRate]) -> Group {
         let known: f64 = listed.iter().map(|each| each.rate.per_second()).sum();
         let rest = (self.offered - known).max(0.0);
@@ -125,15 +132,16 @@
         };
         let groups: Vec<Group> = listed.iter().map(single).chain([unlisted]).collect();
         let served = self.admitted / self.offered;
-        if !(LEAST_ADMITTED..1.0).contains(&served) {
+        if !(MIN_ADMITTED_FRACTION..1.0).contains(&served) {
             return None;
         }
-        let share = max_min(&groups, self.admitted * SHARED)?;
-        // An account that the answer has no place for is not limited, so none that has one is limited further.
-        let left_out = listed
+        let share = max_min(&groups, self.admitted * SHARED_FRACTION)?;
+        // An account that does not fit into the answer is not limited, so accounts that fit are not
+        // limited to less.
+        let first_omitted_rate = listed
             .get(ACCOUNTS_ANSWERED)
             .map_or(0.0, |each| each.rate.per_second());
-        let share = share.max(left_out).max(unlisted.rate);
+        let share = share.max(first_omitted_rate).max(unlisted.rate);
         let above = listed.iter().take(ACCOUNTS_ANSWERED);
         let above = above.map(|each| (each.account, each.rate.per_second()));
         let above = above.filter(|(_, rate)| is_above(*rate, share));
@@ -145,23 +153,23 @@
     }
 }
 
-/// Whether an account went above its share or came back.
+/// Whether an account exceeded its share or returned within it.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum Crossing {
-    /// It went above the share.
+    /// The account exceeded the share.
     Beyond {
-        /// The account's requests a second.
+        /// The account's requests per second.
         rate: f64,
-        /// Requests a second that each account may have.
+        /// Requests per second that each account may send.
         share: f64,
-        /// Fraction of its requests within the share.
+        /// Fraction of the account's requests within the share.
         fraction: f64,
     },
-    /// It has been within the share for some time.
+    /// The account has been within the share for some time.
     Within,
 }
 
-/// An account that went above its share or came back.
+/// An account that exceeded its share or returned within it.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Change {
     /// The service.
@@ -172,22 +180,23 @@
     pub crossing: Crossing,
 }
 
-/// Sums the rates of a failure domain's boxes and of other collectors.
+/// Aggregates the rates of a failure domain's boxes and of other collectors.
 #[derive(Debug, Default)]
 pub struct Aggregator {
-    /// By address, and whether it is a collector: a box may collect while it still reports to another.
+    /// Senders by address and whether they are a collector, since a box may already collect while
+    /// it still reports to another collector.
     senders: HashMap<(IpAddr, bool), Sender>,
-    summed_at: Option<Instant>,
-    /// Sums of its boxes for services that are contended somewhere.
-    own: Vec<ServiceRates>,
+    aggregated_at: Option<Instant>,
+    /// Sums over the domain's own boxes for services that are contended anywhere.
+    own_rates: Vec<ServiceRates>,
     shares: Vec<ServiceShare>,
-    /// Accounts that were above their share lately, and when.
+    /// Accounts that recently exceeded their share, with the last time they did.
     above: HashMap<(Arc<str>, AccountDigest), Instant>,
 }
 
 impl Aggregator {
-    /// Updates the rates of the box or collector at `ip`; those of another run at that address are replaced. Returns whether a service
-    /// is contended that was not.
+    /// Updates the rates of the box or collector at `ip`, replacing those of another run at that
+    /// address. Returns whether a service is newly contended.
     pub fn update(&mut self, rates: AccountRates, ip: IpAddr, now: Instant) -> bool {
         let is_collector = rates.domain.is_some();
         let new = || Sender {
@@ -199,20 +208,23 @@
             *sender = new();
         }
         let mut is_new = false;
-        for told in rates.services {
-            let known = sender.services.get(&told.service);
-            let is_late = known.is_some_and(|known| known.number >= rates.number);
-            let has_place = known.is_some() || sender.services.len() < MOST_SERVICES;
-            if is_late || !has_place {
+        for reported in rates.services {
+            let known = sender.services.get(&reported.service);
+            let is_outdated = known.is_some_and(|known| known.number >= rates.number);
+            let fits = known.is_some() || sender.services.len() < MOST_SERVICES;
+            if is_outdated || !fits {
                 continue;
             }
             let was_contended = known.is_some_and(|known| known.rates.is_contended)
-                || self.shares.iter().any(|each| each.service == told.service);
-            is_new |= told.is_contended && !was_contended;
-            let received = Received {
+                || self
+                    .shares
+                    .iter()
+                    .any(|each| each.service == reported.service);
+            is_new |= reported.is_contended && !was_contended;
+            let received = ReceivedRates {
                 number: rates.number,
                 at: now,
-                rates: told,
+                rates: reported,
             };
             let service = received.rates.service.clone();
             sender.services.insert(service, received);
@@ -220,73 +232,76 @@
         is_new
     }
 
-    /// Removes a box that reports to another collector from now on.
+    /// Removes a box that now reports to another collector.
     pub fn leave(&mut self, run: Incarnation) {
         self.senders
             .retain(|(_, is_collector), sender| *is_collector || sender.run != run);
     }
 
-    /// Removes expired rates and computes the shares, if the last ones are some time old; returns the accounts that crossed their
-    /// share.
+    /// Removes expired rates and recomputes the shares unless they are recent. Returns the accounts
+    /// that exceeded their share or returned within it.
     pub fn sum_up(&mut self, now: Instant) -> Vec<Change> {
-        let is_recent = |at: Instant| now.since(at) < SUM_INTERVAL;
-        match self.summed_at.is_some_and(is_recent) {
+        let is_recent = |at: Instant| now.since(at) < AGGREGATION_INTERVAL;
+        match self.aggregated_at.is_some_and(is_recent) {
             true => Vec::new(),
             false => self.sum_up_now(now),
         }
     }
 
-    /// The same however old the last ones are.
+    /// Like [`Aggregator::sum_up`], but regardless of the age of the shares.
     pub fn sum_up_now(&mut self, now: Instant) -> Vec<Change> {
-        self.summed_at = Some(now);
+        self.aggregated_at = Some(now);
         self.senders.retain(|_, sender| {
             sender.services.retain(|_, received| received.is_valid(now));
             !sender.services.is_empty()
         });
-        let mut own: BTreeMap<Arc<str>, Sum> = BTreeMap::new();
-        let mut all: BTreeMap<Arc<str>, Sum> = BTreeMap::new();
+        let mut own_sums: BTreeMap<Arc<str>, RateSum> = BTreeMap::new();
+        let mut all: BTreeMap<Arc<str>, RateSum> = BTreeMap::new();
         for ((_, is_collector), sender) in &self.senders {
             for (service, received) in &sender.services {
                 all.entry(service.clone()).or_default().add(&received.rates);
                 if !is_collector {
-                    own.entry(service.clone()).or_default().add(&received.rates);
+                    own_sums
+                        .entry(service.clone())
+                        .or_default()
+                        .add(&received.rates);
                 }
             }
         }
         all.retain(|_, sum| sum.is_contended);
         keep_busiest(&mut all);
-        own.retain(|service, _| all.contains_key(service));
-        let own = own.iter().map(|(service, sum)| sum.rates(service));
-        self.own = own.collect();
-        self.share_out(&all, now)
+        own_sums.retain(|service, _| all.contains_key(service));
+        let own_rates = own_sums.iter().map(|(service, sum)| sum.rates(service));
+        self.own_rates = own_rates.collect();
+        self.compute_shares(&all, now)
     }
 
-    fn share_out(&mut self, sums: &BTreeMap<Arc<str>, Sum>, now: Instant) -> Vec<Change> {
+    fn compute_shares(&mut self, sums: &BTreeMap<Arc<str>, RateSum>, now: Instant) -> Vec<Change> {
         let mut changes = Vec::new();
         self.shares.clear();
         for (service, sum) in sums {
             let found = sum.share();
             let share = found.as_ref().map(|(share, _)| DemandRate::new(*share));
             let above = found.map(|(_, above)| above).unwrap_or_default();
-            for (told, rate) in &above {
+            for (limited, rate) in &above {
                 let crossing = Crossing::Beyond {
                     rate: *rate,
                     share: share.unwrap_or_default().per_second(),
-                    fraction: told.fraction,
+                    fraction: limited.fraction,
                 };
-                let key = (service.clone(), told.account);
+                let key = (service.clone(), limited.account);
                 if self.above.insert(key, now).is_none() {
-                    changes.push(change(service, told.account, crossing));
+                    changes.push(change(service, limited.account, crossing));
                 }
             }
             self.shares.push(ServiceShare {
                 service: service.clone(),
                 share,
-                accounts: above.into_iter().map(|(told, _)| told).collect(),
+                accounts: above.into_iter().map(|(limited, _)| limited).collect(),
             });
         }
         self.above.retain(|(service, account), at| {
-            let is_above = now.since(*at) < WITHIN_SETTLED;
+            let is_above = now.since(*at) < WITHIN_DELAY;
             if !is_above {
                 changes.push(change(service, *account, Crossing::Within));
             }
@@ -295,24 +310,26 @@
         changes
     }
 
-    /// Sums of its boxes for services that are contended somewhere, for other collectors.
+    /// Returns the sums over the domain's own boxes for services that are contended anywhere, to
+    /// send to other collectors.
     pub fn own_rates(&self) -> &[ServiceRates] {
-        &self.own
+        &self.own_rates
     }
 
-    /// Shares of the contended services, for its boxes.
+    /// Returns the shares of contended services, to send to the domain's boxes.
     pub fn shares(&self) -> &[ServiceShare] {
         &self.shares
     }
 }
 
-/// Whether an account's rate is above the share, and not by chance: in a window of 1 s a rate deviates by its square root.
+/// Whether an account's rate significantly exceeds the share. A rate over a window of 1 s has a
+/// standard deviation of about its square root.
 fn is_above(rate: f64, share: f64) -> bool {
-    rate > share + (share * TOLERANCE).max(share.sqrt() * DEVIATIONS)
+    rate > share + (share * TOLERATED_EXCESS).max(share.sqrt() * TOLERATED_DEVIATIONS)
 }
 
-/// Removes all but the services with the highest rates.
-fn keep_busiest(sums: &mut BTreeMap<Arc<str>, Sum>) {
+/// Keeps only the services with the highest rates.
+fn keep_busiest(sums: &mut BTreeMap<Arc<str>, RateSum>) {
     if sums.len() <= MOST_SERVICES {
         return;
     }
--- a/reachtally-core/src/forward/shares/believed.rs
+++ b/reachtally-core/src/forward/shares/believed.rs
@@ -1,59 +1,60 @@
-//! The shares that a box applies.
+//! The shares that a box enforces.
 
 use std::collections::HashMap;
 use std::sync::Arc;
 
-use super::{AccountShares, SHARE_LIFE, Standing};
+use super::{AccountShares, SHARE_TTL, Standing};
 use crate::forward::quarantine::AccountDigest;
 use crate::time::Instant;
 
-/// What a collector answered for one service.
+/// The shares of one service, as received from a collector.
 #[derive(Debug)]
-struct ServiceState {
-    /// Number of the report that was answered.
+struct ServiceShares {
+    /// Number of the load report that was answered.
     number: u64,
     received_at: Instant,
-    /// Accounts above the share, with the fraction of their requests that is within it.
+    /// Accounts above the share, with the fraction of their requests within it.
     fractions: HashMap<AccountDigest, f64>,
 }
 
-impl ServiceState {
+impl ServiceShares {
     fn is_valid(&self, now: Instant) -> bool {
-        now.since(self.received_at) < SHARE_LIFE
+        now.since(self.received_at) < SHARE_TTL
     }
 }
 
-/// The shares that a box was told.
+/// The shares received by a box.
 #[derive(Debug, Default)]
-pub struct Believed(HashMap<Arc<str>, ServiceState>);
+pub struct Believed(HashMap<Arc<str>, ServiceShares>);
 
 impl Believed {
-    /// Updates the shares; those of an earlier answer than the one known are left out.
+    /// Updates the shares, ignoring services for which a more recent answer is known.
     pub fn update(&mut self, shares: AccountShares, now: Instant) {
         self.remove_expired(now);
-        for told in shares.services {
-            let known = self.0.get(&told.service);
+        for answer in shares.services {
+            let known = self.0.get(&answer.service);
             if known.is_some_and(|known| known.number >= shares.number) {
                 continue;
             }
-            let each = told.accounts.iter();
+            let each = answer.accounts.iter();
             let fractions = each.map(|each| (each.account, each.fraction));
-            let state = ServiceState {
+            let state = ServiceShares {
                 number: shares.number,
                 received_at: now,
                 fractions: fractions.collect(),
             };
-            self.0.insert(told.service, state);
+            self.0.insert(answer.service, state);
         }
     }
 
-    /// Whether a service is contended at some box, as told.
+    /// Whether a collector reported that a service is contended at any box.
     pub fn is_contended(&self, service: &str, now: Instant) -> bool {
         let known = self.0.get(service);
         known.is_some_and(|known| known.is_valid(now))
     }
 
-    /// Whether a request of `account` for `service` is within the account's share; `draw` is a well-spread number of the request.
+    /// Returns whether a request of `account` for `service` is within the account's share; `draw`
+    /// is a uniformly distributed number of the request.
     pub fn standing(
         &self,
         service: &str,
@@ -68,7 +69,7 @@
         }
     }
 
-    /// Number of accounts above their share, summed over services.
+    /// Returns the number of accounts above their share, summed over services.
     pub fn accounts_beyond(&self, now: Instant) -> usize {
         let valid = self.0.values().filter(|state| state.is_valid(now));
         valid.map(|state| state.fractions.len()).sum()
@@ -79,7 +80,7 @@
     }
 }
 
-/// Maps a draw to `[0, 1)`, independently of its low bits, which choose the service.
+/// Maps a random number to `[0, 1)`, independently of its low bits, which select the service.
 fn position(draw: u64) -> f64 {
     let mixed = draw.wrapping_mul(0x9E37_79B9_7F4A_7C15);
     (mixed >> 11) as f64 / (1_u64 << 53) as f64
--- a/reachtally-core/src/forward/shares/usage.rs
+++ b/reachtally-core/src/forward/shares/usage.rs
@@ -1,24 +1,25 @@
-//! Requests of a box's callers, by service and account.
+//! Request rates of a box's callers by service and account.
 
 use std::collections::HashMap;
 use std::sync::Arc;
 
-use super::{ACCOUNTS_OF_BOX, AccountRate, CONTENTION_LIFE, MOST_SERVICES, ServiceRates};
+use super::{ACCOUNTS_OF_BOX, AccountRate, CONTENTION_TTL, MOST_SERVICES, ServiceRates};
 use crate::forward::limit::DemandRate;
 use crate::forward::quarantine::AccountDigest;
 use crate::forward::rate::MeanRate;
 use crate::time::Instant;
 
-/// Time constant of the rates, in ms: requests are as old on average as in a window of 1 s.
-const SMOOTHING_MS: u64 = 500;
-/// Accounts of a service that are counted one by one; bounds the memory.
-const MOST_ACCOUNTS: usize = 4096;
-/// Rate below which an account or a service counts as without requests, in requests a second.
-const LEAST_RATE: f64 = 0.01;
+/// Time constant of the rates, in ms. The mean age of counted requests is the same as in a window
+/// of 1 s.
+const TIME_CONSTANT_MS: u64 = 500;
+/// Maximum number of accounts counted individually per service; limits memory use.
+const MAX_ACCOUNTS: usize = 4096;
+/// Rate in requests per second below which an account or a service counts as idle.
+const MIN_RATE: f64 = 0.01;
 
-type Rate = MeanRate<SMOOTHING_MS>;
+type Rate = MeanRate<TIME_CONSTANT_MS>;
 
-/// The requests for one service.
+/// Request rates of one service.
 #[derive(Debug, Default)]
 struct ServiceUsage {
     offered: Rate,
@@ -30,11 +31,12 @@
 impl ServiceUsage {
     fn is_contended(&self, now: Instant) -> bool {
         self.contended_at
-            .is_some_and(|at| now.since(at) < CONTENTION_LIFE)
+            .is_some_and(|at| now.since(at) < CONTENTION_TTL)
     }
 
-    /// Removes the accounts that are not above the median. They keep counting as part of what is offered.
-    fn make_room(&mut self, now: Instant) {
+    /// Removes the accounts whose rate is not above the median. Their requests still count as
+    /// offered.
+    fn evict_small_accounts(&mut self, now: Instant) {
         let mut rates: Vec<f64> = self.accounts.values().map(|rate| rate.at(now)).collect();
         let middle = rates.len() / 2;
         let (_, median, _) = rates.select_nth_unstable_by(middle, f64::total_cmp);
@@ -43,7 +45,7 @@
     }
 
     fn rates(&mut self, service: &Arc<str>, now: Instant) -> ServiceRates {
-        self.accounts.retain(|_, rate| rate.at(now) >= LEAST_RATE);
+        self.accounts.retain(|_, rate| rate.at(now) >= MIN_RATE);
         let each = self.accounts.iter().map(|(account, rate)| AccountRate {
             account: *account,
             rate: DemandRate::new(rate.at(now)),
@@ -54,13 +56,13 @@
             offered: DemandRate::new(self.offered.at(now)),
             admitted: DemandRate::new(self.admitted.at(now)),
             count: self.accounts.len() as u32,
-            accounts: largest(each.collect(), ACCOUNTS_OF_BOX),
+            accounts: highest_rates(each.collect(), ACCOUNTS_OF_BOX),
         }
     }
 }
 
-/// Returns the `most` largest accounts, in order of their digests among equals.
-pub(super) fn largest(mut accounts: Vec<AccountRate>, most: usize) -> Vec<AccountRate> {
+/// Returns up to `most` accounts with the highest rates; ties are ordered by digest.
+pub(super) fn highest_rates(mut accounts: Vec<AccountRate>, most: usize) -> Vec<AccountRate> {
     let rate = |each: &AccountRate| each.rate.per_second();
     accounts.sort_by(|a, b| {
         let by_rate = rate(b).total_cmp(&rate(a));
@@ -70,8 +72,8 @@
     accounts
 }
 
-/// Returns the services with the highest rates, [`MOST_SERVICES`] at most.
-fn busiest(mut services: Vec<ServiceRates>) -> Vec<ServiceRates> {
+/// Returns up to [`MOST_SERVICES`] services with the highest rates.
+fn highest_offered(mut services: Vec<ServiceRates>) -> Vec<ServiceRates> {
     let rate = |each: &ServiceRates| each.offered.per_second();
     services.sort_by(|a, b| {
         let by_rate = rate(b).total_cmp(&rate(a));
@@ -81,7 +83,7 @@
     services
 }
 
-/// The requests of a box's callers.
+/// Request rates of a box's callers.
 #[derive(Debug, Default)]
 pub struct Usage(HashMap<Arc<str>, ServiceUsage>);
 
@@ -90,22 +92,23 @@
         self.0.entry(service.clone()).or_default()
     }
 
-    /// Counts a request of `account` for `service`.
+    /// Records a request of `account` for `service`.
     pub fn count_offered(&mut self, service: &Arc<str>, account: AccountDigest, now: Instant) {
         let usage = self.of(service);
         usage.offered.count(now);
-        if usage.accounts.len() >= MOST_ACCOUNTS && !usage.accounts.contains_key(&account) {
-            usage.make_room(now);
+        if usage.accounts.len() >= MAX_ACCOUNTS && !usage.accounts.contains_key(&account) {
+            usage.evict_small_accounts(now);
         }
         usage.accounts.entry(account).or_default().count(now);
     }
 
-    /// Counts a request for `service` that was admitted.
+    /// Records an admitted request for `service`.
     pub fn count_admitted(&mut self, service: &Arc<str>, now: Instant) {
         self.of(service).admitted.count(now);
     }
 
-    /// Notes that a request for `service` waited or was refused by admission; returns whether the service was not contended before.
+    /// Records that admission queued or refused a request for `service`; returns whether the
+    /// service was not contended before.
     pub fn note_contended(&mut self, service: &Arc<str>, now: Instant) -> bool {
         let usage = self.of(service);
         let is_new = !usage.is_contended(now);
@@ -113,8 +116,8 @@
         is_new
     }
 
-    /// Returns the rates of the services that are contended here, or elsewhere by `is_contended`. Services without requests are
-    /// removed.
+    /// Returns the rates of services that are contended here, or elsewhere according to
+    /// `is_contended`. Idle services are removed.
     pub fn rates(
         &mut self,
         is_contended: impl Fn(&str) -> bool,
@@ -122,14 +125,14 @@
     ) -> Vec<ServiceRates> {
         self.0.retain(|_, usage| {
             usage.is_contended(now)
-                || usage.offered.at(now) >= LEAST_RATE
-                || usage.admitted.at(now) >= LEAST_RATE
+                || usage.offered.at(now) >= MIN_RATE
+                || usage.admitted.at(now) >= MIN_RATE
         });
         let each = self
             .0
             .iter_mut()
             .filter(|(service, usage)| usage.is_contended(now) || is_contended(service));
         let rates = each.map(|(service, usage)| usage.rates(service, now));
-        busiest(rates.collect())
+        highest_offered(rates.collect())
     }
 }
