--- a/reachtally-core/src/forward/select/judge.rs
+++ b/reachtally-core/src/forward/select/judge.rs
@@ -55,8 +55,7 @@
 
 impl PathScore {
     fn new(totals: &PathTotals, model: &LayerModel, aim: Aim) -> Self {
-        let fraction =
-            |ms: f64, limit_ms: Option<f64>| limit_ms.map_or(0.0, |limit| ms / limit.max(1.0));
+        let fraction = |ms: f64, limit: Option<f64>| limit.map_or(0.0, |limit| ms / limit.max(1.0));
         PathScore {
             price: totals.price,
             duration_ms: totals.ranking_first_ms() + model.usual_answer * totals.token_ms,
@@ -77,8 +76,8 @@
     /// Linearizes the cost around these values, so that the contributions of the engines add up.
     fn weights(&self, model: &LayerModel, aim: Aim) -> Weights {
         let miss_cost = MISS_PENALTY / self.miss_factor();
-        let slope = |fraction: f64, limit_ms: Option<f64>| {
-            limit_ms.map_or(0.0, |limit| {
+        let slope = |fraction: f64, limit: Option<f64>| {
+            limit.map_or(0.0, |limit| {
                 miss_cost * miss_slope(fraction) / limit.max(1.0)
             })
         };
