--- a/reachtally-core/src/forward/select/judge.rs
+++ b/reachtally-core/src/forward/select/judge.rs
@@ -77,9 +77,7 @@
     fn weights(&self, model: &LayerModel, aim: Aim) -> Weights {
         let miss_cost = MISS_PENALTY / self.miss_factor();
         let slope = |fraction: f64, limit: Option<f64>| {
-            limit.map_or(0.0, |limit| {
-                miss_cost * miss_slope(fraction) / limit.max(1.0)
-            })
+            limit.map_or(0.0, |most| miss_cost * miss_slope(fraction) / most.max(1.0))
         };
         let duration = 1.0 / self.duration_ms.max(f64::MIN_POSITIVE);
         let gap = slope(self.gap_fraction, aim.gap_ms) * model.stride.max(1.0);
--- a/reachtally-core/src/forward/select/shortage.rs
+++ b/reachtally-core/src/forward/select/shortage.rs
@@ -35,7 +35,7 @@
         } = self;
         write!(
             f,
-            "gap {gap}, unusable {unusable}, full {full}, backing off {backing_off}, limited {limited}"
+            "gap {gap}, unusable {unusable}, full {full}, resting {backing_off}, limited {limited}"
         )
     }
 }
