--- a/reachtally-core/src/forward/placement/evaluate/fill.rs
+++ b/reachtally-core/src/forward/placement/evaluate/fill.rs
@@ -204,8 +204,8 @@
         }
     }
 
-    /// Returns the batch size of an engine when `load` requests are spread over the engines
-    /// of a path.
+    /// Returns the batch size of an engine when `load` requests are spread over the engines of a
+    /// path.
     fn batch(&self, host: &Host, load: f64) -> f64 {
         (load * self.model.share(host.layers.len() as u32)).max(1.0)
     }
--- a/reachtally-core/src/forward/select/candidate.rs
+++ b/reachtally-core/src/forward/select/candidate.rs
@@ -11,7 +11,7 @@
 /// themselves what does not fit, and a request that is refused here without being sent is retried
 /// late.
 const MAX_KV_UTILIZATION: f64 = 1.7;
-/// Maximum utilization of an engine's slots. Below 1, since load reports are some 100 ms old.
+/// Maximum utilization of an engine's slots. Below 1, since loads are known some hundred ms late.
 const MAX_SLOT_UTILIZATION: f64 = 0.95;
 /// Upper bound on the utilization assumed for boxes that have not reported yet. The assumption only
 /// diverts requests to other engines and never refuses them.
--- a/reachtally-core/src/forward/select/mod.rs
+++ b/reachtally-core/src/forward/select/mod.rs
@@ -102,7 +102,7 @@
     /// Ratio of the estimated load of all boxes to the load reported so far. It exceeds 1 while
     /// some boxes have not reported yet; those are assumed to have the same load as the others.
     pub unheard: f64,
-    /// Uniformly distributed number sampled for the request, so that boxes with the same view choose
+    /// Uniformly distributed number drawn for the request, so that boxes with the same view choose
     /// differently.
     pub draw: u64,
     /// Whether rate limits apply.
