--- a/reachtally-core/src/forward/fleet.rs
+++ b/reachtally-core/src/forward/fleet.rs
@@ -21,62 +21,63 @@
 pub use health::Health;
 pub use notice::Notice;
 use notice::Notices;
-pub use queue::{QUEUE_LIFE, Queues, StatedQueue};
+pub use queue::{QUEUE_TTL, Queues, StatedQueue};
 
 new_key_type! {
-    /// Row of a target in a [`Fleet`].
+    /// Key of a target's row in a [`Fleet`].
     pub struct EngineKey;
 }
 
-/// All targets known.
+/// All known targets.
 #[derive(Debug, Default)]
 pub struct Fleet {
     engines: SlotMap<EngineKey, Engine>,
     by_id: HashMap<Arc<str>, EngineKey>,
     by_address: HashMap<SocketAddr, EngineKey>,
-    /// Notices of runs without a row.
+    /// Notices of runs that have no row.
     notices: Notices,
-    /// Failure domains of which this box reaches no target.
+    /// Failure domains in which this box reaches no target.
     unreachable: BTreeSet<Arc<str>>,
 }
 
 impl Fleet {
-    /// Inserts or updates an entry. Returns the target's row and whether something changed.
+    /// Inserts or updates an entry. Returns the target's row and whether anything changed.
     ///
-    /// A known run is updated. A target that started again gets a new row, so that neither the state of its earlier run nor references
-    /// to its row apply to it. A late entry of an earlier run changes nothing.
-    pub fn upsert(&mut self, entry: Entry, evidence: Evidence, now: Instant) -> (EngineKey, bool) {
+    /// An entry of the known run updates its row. A restarted target gets a new row, so that
+    /// neither the state of its earlier run nor keys of its row apply to it. A delayed entry of an
+    /// earlier run is ignored.
+    pub fn upsert(&mut self, entry: Entry, source: Evidence, now: Instant) -> (EngineKey, bool) {
         let Some(&key) = self.by_id.get(&entry.id) else {
-            return (self.insert(entry, evidence, now), true);
+            return (self.insert(entry, source, now), true);
         };
         let known = &self.engines[key];
         match entry.run_since(&known.entry) {
-            RunOrder::Same => (key, self.update(key, entry, evidence, now)),
-            RunOrder::Earlier if known.is_heard(now) => (key, false),
+            RunOrder::Same => (key, self.update(key, entry, source, now)),
+            RunOrder::Earlier if known.was_read_recently(now) => (key, false),
             RunOrder::Earlier | RunOrder::Later => {
                 self.remove(&entry.id, now);
-                (self.insert(entry, evidence, now), true)
+                (self.insert(entry, source, now), true)
             }
         }
     }
 
     /// Adds a row for a new run.
-    fn insert(&mut self, entry: Entry, evidence: Evidence, now: Instant) -> EngineKey {
+    fn insert(&mut self, entry: Entry, source: Evidence, now: Instant) -> EngineKey {
         let id = entry.id.clone();
         let address = entry.address;
         let notice = self.notices.take(&entry.run());
         let key = self.engines.insert(Engine::new(entry, notice, now));
-        self.follow_domain(key, now);
+        self.sync_reachability(key, now);
         self.by_id.insert(id, key);
-        self.take_address(address, key, evidence, now);
+        self.claim_address(address, key, source, now);
         key
     }
 
-    /// Updates the row of a known run; returns whether something changed.
-    fn update(&mut self, key: EngineKey, entry: Entry, evidence: Evidence, now: Instant) -> bool {
+    /// Updates the row of a known run. Returns whether anything changed.
+    fn update(&mut self, key: EngineKey, entry: Entry, source: Evidence, now: Instant) -> bool {
         let engine = &mut self.engines[key];
-        engine.heard_at = now;
-        let is_back = evidence == Evidence::Written && engine.health.wrote(now);
+        engine.entry_read_at = now;
+        let is_back = source == Evidence::Written && engine.health.entry_written(now);
         let entry = Entry {
             draining: engine.entry.draining || entry.draining,
             born: entry.born.or(engine.entry.born),
@@ -89,29 +90,31 @@
         }
         let before = std::mem::replace(&mut engine.entry, entry).address;
         let address = engine.entry.address;
-        self.follow_domain(key, now);
+        self.sync_reachability(key, now);
         if before != address || is_back {
             self.release_address(before, key);
-            self.take_address(address, key, evidence, now);
+            self.claim_address(address, key, source, now);
         }
         let is_back = is_back && !self.engines[key].health.is_superseded();
         is_changed || was_missing || is_back
     }
 
-    /// Lets a target be reachable as its failure domain is.
-    fn follow_domain(&mut self, key: EngineKey, now: Instant) {
+    /// Applies the reachability of its failure domain to a target.
+    fn sync_reachability(&mut self, key: EngineKey, now: Instant) {
         let engine = &mut self.engines[key];
         let is_reachable = !self.unreachable.contains(&engine.entry.domain);
         engine.health.set_reachable(is_reachable, now);
     }
 
-    /// Assigns `address` to a target. Of two that claim it, the run that started later has it, or else the one that wrote last: a late
-    /// entry of an earlier run must not displace its successor. The other is superseded; its entry stays until it expires.
-    fn take_address(
+    /// Assigns `address` to a target. If two targets claim it, the run that started later gets it;
+    /// if their order is unknown, the one that wrote its entry last does. A delayed entry of an
+    /// earlier run must not displace its successor. The other target is superseded; its entry stays
+    /// until it expires.
+    fn claim_address(
         &mut self,
         address: SocketAddr,
         key: EngineKey,
-        evidence: Evidence,
+        source: Evidence,
         now: Instant,
     ) {
         let holder = self.by_address.get(&address).copied();
@@ -120,14 +123,14 @@
         let superseded = match order {
             Some(RunOrder::Earlier) => Some(key),
             Some(RunOrder::Later) => holder,
-            Some(RunOrder::Same) => holder.filter(|_| evidence == Evidence::Written),
+            Some(RunOrder::Same) => holder.filter(|_| source == Evidence::Written),
             None => None,
         };
         if superseded != Some(key) {
             self.by_address.insert(address, key);
         }
         if let Some(engine) = superseded.and_then(|key| self.engines.get_mut(key)) {
-            engine.health.superseded(now);
+            engine.health.mark_superseded(now);
         }
     }
 
@@ -137,7 +140,7 @@
         }
     }
 
-    /// Removes and returns the target `id`. Its notice is kept, since its entry may come back.
+    /// Removes and returns the target `id`. Its notice is retained because the entry may reappear.
     pub fn remove(&mut self, id: &str, now: Instant) -> Option<Engine> {
         let key = self.by_id.remove(id)?;
         let engine = self.engines.remove(key)?;
@@ -150,46 +153,47 @@
         Some(engine)
     }
 
-    /// Marks the entry of `id` as missing, perhaps through the store's fault: the target becomes the last choice. Returns whether
-    /// it was not marked before.
+    /// Marks the entry of `id` as missing. Since the store may have lost it, the target stays as a
+    /// last resort. Returns whether it was not marked before.
     pub fn miss(&mut self, id: &str, now: Instant) -> bool {
         let Some(&key) = self.by_id.get(id) else {
             return false;
         };
         let engine = &mut self.engines[key];
-        let was_there = engine.missing_since.is_none();
+        let was_present = engine.missing_since.is_none();
         engine.missing_since.get_or_insert(now);
-        was_there
+        was_present
     }
 
-    /// Ids of targets whose entries have been missing for `patience`.
+    /// Returns the ids of targets whose entries have been missing for at least `patience`.
     pub fn missing(&self, now: Instant, patience: Duration) -> Vec<Arc<str>> {
-        let late = |engine: &&Engine| {
+        let expired = |engine: &&Engine| {
             engine
                 .missing_since
                 .is_some_and(|at| now.since(at) >= patience)
         };
         self.engines
             .values()
-            .filter(late)
+            .filter(expired)
             .map(|engine| engine.entry.id.clone())
             .collect()
     }
 
-    /// Ids of all targets.
+    /// Returns the ids of all targets.
     pub fn ids(&self) -> Vec<Arc<str>> {
         self.by_id.keys().cloned().collect()
     }
 
-    /// Targets that accept no connections, without those whose address was taken over or whose failure domain is unreachable.
+    /// Returns targets that accept no connections, except those whose address was claimed by
+    /// another target or whose failure domain is unreachable.
     pub fn dead(&self) -> Vec<EngineKey> {
         let dead = self.engines.iter();
-        dead.filter(|(_, engine)| engine.health.is_alone_silent())
+        dead.filter(|(_, engine)| engine.health.is_individually_unresponsive())
             .map(|(key, _)| key)
             .collect()
     }
 
-    /// At most `most` dead targets that are due for a probe, those that have waited longest first.
+    /// Returns at most `most` dead targets that are due for a probe, longest overdue first.
     pub fn due_for_probe(&self, now: Instant, most: usize) -> Vec<EngineKey> {
         let probe_at = |key: &EngineKey| self.engines[*key].health.probe_at();
         let mut due = self.dead();
@@ -199,7 +203,7 @@
         due
     }
 
-    /// Sets whether this box reaches the targets of a failure domain. Returns whether that is a change.
+    /// Sets whether this box reaches the targets of a failure domain. Returns whether that changed.
     pub fn set_reachable(&mut self, domain: &Arc<str>, is_reachable: bool, now: Instant) -> bool {
         let is_change = match is_reachable {
             true => self.unreachable.remove(domain),
@@ -214,44 +218,44 @@
         is_change
     }
 
-    /// Failure domains of which this box reaches no target.
+    /// Failure domains in which this box reaches no target.
     pub fn unreachable(&self) -> &BTreeSet<Arc<str>> {
         &self.unreachable
     }
 
-    /// A target by row.
+    /// Returns a target by key.
     pub fn get(&self, key: EngineKey) -> Option<&Engine> {
         self.engines.get(key)
     }
 
-    /// A target by row, to change.
+    /// Returns a mutable target by key.
     pub fn get_mut(&mut self, key: EngineKey) -> Option<&mut Engine> {
         self.engines.get_mut(key)
     }
 
-    /// The target last known at an address.
+    /// Returns the target that currently holds an address.
     pub fn at(&self, address: SocketAddr) -> Option<EngineKey> {
         self.by_address.get(&address).copied()
     }
 
-    /// A target by its id.
+    /// Returns the key of a target by its id.
     pub fn find(&self, id: &str) -> Option<EngineKey> {
         self.by_id.get(id).copied()
     }
 
-    /// The row of a run; `None` if another run has its id by now, or none.
+    /// Returns the row of a run; `None` if its id is unknown or belongs to another run by now.
     pub fn find_run(&self, run: &TargetRun) -> Option<EngineKey> {
         let key = self.find(&run.id)?;
         let held = RunMark::from(self.engines.get(key)?.entry.born);
         run.mark.is_same(held).then_some(key)
     }
 
-    /// All targets.
+    /// Iterates over all targets.
     pub fn iter(&self) -> impl Iterator<Item = (EngineKey, &Engine)> {
         self.engines.iter()
     }
 
-    /// Targets of a service.
+    /// Iterates over the targets of a service.
     pub fn of_service<'a>(
         &'a self,
         service: &'a str,
@@ -261,13 +265,15 @@
             .filter(move |(_, engine)| &*engine.entry.service == service)
     }
 
-    /// Whether a run was known and its entry was removed. That it is listed is no sign of life, since a list may be an older copy; only
-    /// a live target goes on writing.
+    /// Whether a run was known and its entry was removed. A listing that contains the run does not
+    /// prove that it is alive, because the list may be an older copy; only a live target keeps
+    /// writing its entry.
     pub fn is_gone(&self, run: &TargetRun) -> bool {
         self.notices.has(run)
     }
 
-    /// Changes the notice of a run, whether it has a row or not: its entry may have been removed while it was at work.
+    /// Updates the notice of a run, with or without a row: its entry may have been removed while it
+    /// was running a request.
     pub fn note(&mut self, run: &TargetRun, now: Instant, change: impl FnOnce(&mut Notice)) {
         let row = self.find_run(run).and_then(|key| self.engines.get_mut(key));
         match row {
@@ -276,7 +282,7 @@
         }
     }
 
-    /// The rate limit that a run states, whether it has a row or not.
+    /// Returns the rate limit that a run states, with or without a row.
     pub fn limit_of(&self, run: &TargetRun) -> Option<RateLimit> {
         let row = self.find_run(run).and_then(|key| self.engines.get(key));
         let notice = match row {
@@ -286,7 +292,8 @@
         notice?.limit()
     }
 
-    /// Targets with a statement on their rate limit.
+    /// Iterates over the targets that stated a rate limit or its end, with the time of the last
+    /// change.
     pub fn stated_limits(&self) -> impl Iterator<Item = (&Engine, StatedLimit, Instant)> {
         self.engines.values().filter_map(|engine| {
             let (stated, changed_at) = engine.notice.stated_limit()?;
@@ -302,21 +309,21 @@
         }
     }
 
-    /// Counts a failure of a target.
+    /// Records a failure of a target.
     pub fn failed(&mut self, key: EngineKey, now: Instant) {
         if let Some(engine) = self.engines.get_mut(key) {
             engine.health.failed(now);
         }
     }
 
-    /// Removes the loads of other boxes.
+    /// Clears the loads reported by other boxes.
     pub fn clear_remote(&mut self) {
         for engine in self.engines.values_mut() {
             engine.clear_remote();
         }
     }
 
-    /// Counts a request on the targets `keys`, which holds `tokens` of KV on average.
+    /// Adds a request that holds `tokens` of KV on average to the load of the targets `keys`.
     pub fn begin(&mut self, keys: &[EngineKey], tokens: f64) {
         self.change(keys, |engine| {
             engine.running += 1;
@@ -324,14 +331,14 @@
         });
     }
 
-    /// Counts a prompt of `tokens` that the engines `keys` of a path read one after the other. It waits at one
-    /// of them at a time, so each counts its part.
+    /// Adds a prompt of `tokens` that the engines `keys` of a path prefill one after the other. It
+    /// waits at one of them at a time, so each is charged an equal part.
     pub fn begin_reading(&mut self, keys: &[EngineKey], tokens: f64) {
         let each = tokens / keys.len().max(1) as f64;
         self.change(keys, |engine| engine.reading += each);
     }
 
-    /// Ends the count of a prompt that was read or whose request ended.
+    /// Removes a prompt from the load once it was prefilled or its request ended.
     pub fn end_reading(&mut self, keys: &[EngineKey], tokens: f64) {
         let each = tokens / keys.len().max(1) as f64;
         self.change(keys, |engine| {
@@ -339,7 +346,7 @@
         });
     }
 
-    /// Ends the count of a request.
+    /// Removes a request from the load.
     pub fn end(&mut self, keys: &[EngineKey], tokens: f64) {
         self.change(keys, |engine| {
             engine.running = engine.running.saturating_sub(1);
--- a/reachtally-core/src/forward/fleet/engine.rs
+++ b/reachtally-core/src/forward/fleet/engine.rs
@@ -1,4 +1,4 @@
-//! One target and its state.
+//! A target and its state.
 
 use std::time::Duration;
 
@@ -6,63 +6,68 @@
 use crate::forward::limit::Permits;
 use crate::time::Instant;
 
-/// Time for which a reported pace holds: slowdowns last some seconds, and asking costs little.
-const PACE_LIFE: Duration = Duration::from_millis(2500);
-/// Time for which the requests count that an instance of a plain service reported with an answer: as long as reports of boxes take to be
-/// known everywhere, and a few times as long as its requests run.
-const TOLD_LIFE: Duration = Duration::from_millis(500);
-/// Upper bound on the pace of an engine; beyond it the engine is as good as silent.
-const SLOWEST_PACE: f64 = 1000.0;
-/// Time for which entries of earlier runs under an id are ignored after an entry of its run: longer than the three heartbeats, of
-/// some 1.2 s each, after which the store drops a silent target's entry. It ends, so that an entry with a start in the future does
-/// not shut out the live target for good.
-const RUN_SHIELDED: Duration = Duration::from_secs(4);
-/// Other boxes that must report a target as silent before it counts: one may have lost its own link.
-const LEAST_WITNESSES: u32 = 2;
-
-/// One target.
+/// How long a reported slowdown factor is valid. Slowdowns last some seconds, and asking again is
+/// cheap.
+const SLOWDOWN_TTL: Duration = Duration::from_millis(2500);
+/// How long the number of running requests that an instance of a plain service reported with an
+/// answer is valid: about the time until box reports are known everywhere, and a few times the
+/// duration of its requests.
+const TARGET_REPORT_TTL: Duration = Duration::from_millis(500);
+/// Upper bound on the slowdown factor of an engine; beyond it the engine is as good as
+/// unresponsive.
+const MAX_SLOWDOWN: f64 = 1000.0;
+/// How long entries of earlier runs of an id are ignored after an entry of the current run. Longer
+/// than the three heartbeats of about 1.2 s each after which the store drops the entry of an
+/// unresponsive target. It is limited so that an entry with a start time in the future cannot
+/// exclude the live target permanently.
+const EARLIER_RUN_IGNORE_TIME: Duration = Duration::from_secs(4);
+/// Number of other boxes that must report a target as unresponsive before it counts, since a single
+/// one may have lost its own link.
+const MIN_WITNESSES: u32 = 2;
+
+/// A target.
 #[derive(Debug, Clone)]
 pub struct Engine {
     /// Its entry.
     pub entry: Entry,
-    /// Requests of this box that it takes part in.
+    /// Running requests of this box that the target takes part in.
     pub running: u32,
-    /// KV tokens that those hold on average while they run.
+    /// KV tokens that these requests hold on average while they run.
     pub tokens: f64,
-    /// Prompt tokens of those that wait to be read there.
+    /// Prompt tokens of this box that wait to be prefilled there.
     pub reading: f64,
-    /// Requests of other boxes, as last reported.
+    /// Running requests of other boxes, as last reported.
     pub remote_running: f64,
-    /// KV tokens that those hold on average while they run.
+    /// KV tokens that these requests hold on average while they run.
     pub remote_tokens: f64,
-    /// Prompt tokens of those that wait to be read there.
+    /// Prompt tokens of other boxes that wait to be prefilled there.
     pub remote_reading: f64,
-    /// Requests that the target itself last reported, less those of this box.
+    /// Running requests that the target itself last reported, without those of this box.
     pub others_told: f64,
-    /// Requests that wait there, as it stated to this box and to others.
+    /// Queue lengths that the target stated to this box and to others.
     pub queues: Queues,
-    /// When it reported them.
+    /// When the target last reported its running requests.
     pub others_told_at: Instant,
-    /// The slowdown factor that it last reported to this box, and when.
+    /// The slowdown factor that the target last reported to this box, and when.
     pace: Option<(f64, Instant)>,
     /// The largest slowdown factor that other boxes report.
     pub remote_pace: Option<f64>,
-    /// Other boxes to which it accepts no connections.
+    /// Number of other boxes to which it accepts no connections.
     pub remote_silent: u32,
-    /// Its failures.
+    /// Failures and what follows from them.
     pub health: Health,
-    /// What it asked of this box.
+    /// What the target asked of this box.
     pub notice: Notice,
-    /// Sends that are permitted while it states a rate limit.
+    /// Permits for sends, used while the target states a rate limit.
     pub permits: Permits,
     /// When its entry was last read.
-    pub(super) heard_at: Instant,
-    /// Since when its entry is missing though that may be the store's fault.
+    pub(super) entry_read_at: Instant,
+    /// Since when its entry is missing, possibly because the store lost it.
     pub missing_since: Option<Instant>,
 }
 
 impl Engine {
-    /// Creates a target from its entry, read at `now`, and the notice kept of its run.
+    /// Creates a target from an entry read at `now` and the notice retained for its run.
     pub(super) fn new(entry: Entry, notice: Notice, now: Instant) -> Self {
         Engine {
             entry,
@@ -81,50 +86,53 @@
             health: Health::default(),
             notice,
             permits: Permits::default(),
-            heard_at: now,
+            entry_read_at: now,
             missing_since: None,
         }
     }
 
-    /// Whether the run said that it leaves, in its entry or in an answer to this box.
+    /// Whether the run announced that it is leaving, in its entry or in an answer to this box.
     pub fn is_leaving(&self) -> bool {
         self.entry.draining || self.notice.is_leaving()
     }
 
-    /// Whether the run accepts requests of this box at present: it neither leaves nor asked for back-off.
+    /// Whether the run accepts requests from this box: it is not leaving and did not ask for
+    /// back-off.
     pub fn accepts_requests(&self, now: Instant) -> bool {
         !self.is_leaving() && !self.notice.is_backing_off(now)
     }
 
-    /// Whether boxes send requests to it: not to engines that only run later layers.
+    /// Whether boxes send requests to it directly, as opposed to engines that only run later
+    /// layers.
     pub fn is_entry_point(&self) -> bool {
         self.entry.card.is_none() || self.entry.layers.contains(&0)
     }
 
-    /// Whether a rate limit keeps this box from sending a request to it now.
+    /// Whether a rate limit prevents this box from sending a request to it now.
     pub fn lacks_permit(&self, now: Instant) -> bool {
         self.notice.limit().is_some() && !self.permits.has(now)
     }
 
-    /// Uses a permit for a send now; yields whether the send is permitted.
+    /// Consumes a permit for a send. Returns whether the send is permitted.
     pub fn take_permit(&mut self, now: Instant) -> bool {
         self.notice.limit().is_none() || self.permits.take(now)
     }
 
-    /// Whether this run's entry was read lately.
-    pub(super) fn is_heard(&self, now: Instant) -> bool {
-        now.since(self.heard_at) < RUN_SHIELDED
+    /// Whether the entry of this run was read recently.
+    pub(super) fn was_read_recently(&self, now: Instant) -> bool {
+        now.since(self.entry_read_at) < EARLIER_RUN_IGNORE_TIME
     }
 
-    /// Returns the requests of others that the target reported within [`TOLD_LIFE`], else 0.
+    /// Returns the running requests of other boxes that the target reported within
+    /// [`TARGET_REPORT_TTL`], else 0.
     pub fn others_told_lately(&self, now: Instant) -> f64 {
-        match now.since(self.others_told_at) < TOLD_LIFE {
+        match now.since(self.others_told_at) < TARGET_REPORT_TTL {
             true => self.others_told,
             false => 0.0,
         }
     }
 
-    /// Removes what other boxes reported.
+    /// Clears everything that other boxes reported.
     pub(super) fn clear_remote(&mut self) {
         self.remote_running = 0.0;
         self.remote_tokens = 0.0;
@@ -133,25 +141,26 @@
         self.remote_silent = 0;
     }
 
-    /// Whether several other boxes report that it accepts no connections, so that not each box finds out by itself.
+    /// Whether several other boxes report that it accepts no connections, so that each box need not
+    /// find out by itself.
     pub fn is_remotely_silent(&self) -> bool {
-        self.remote_silent >= LEAST_WITNESSES
+        self.remote_silent >= MIN_WITNESSES
     }
 
-    /// Takes in a reported slowdown factor; `NaN` is ignored.
+    /// Records a reported slowdown factor; `NaN` is ignored.
     pub fn told_pace(&mut self, pace: f64, now: Instant) {
         if !pace.is_nan() {
-            self.pace = Some((pace.clamp(1.0, SLOWEST_PACE), now));
+            self.pace = Some((pace.clamp(1.0, MAX_SLOWDOWN), now));
         }
     }
 
-    /// Returns the slowdown factor that the engine reported to this box lately.
+    /// Returns the slowdown factor that the engine reported to this box, unless it has expired.
     pub fn own_pace(&self, now: Instant) -> Option<f64> {
         let (pace, at) = self.pace?;
-        (now.since(at) < PACE_LIFE).then_some(pace)
+        (now.since(at) < SLOWDOWN_TTL).then_some(pace)
     }
 
-    /// Returns the slowdown factor as far as it is known, else 1.
+    /// Returns the known slowdown factor, else 1.
     pub fn slowness(&self, now: Instant) -> f64 {
         self.own_pace(now).or(self.remote_pace).unwrap_or(1.0)
     }
--- a/reachtally-core/src/forward/fleet/entry.rs
+++ b/reachtally-core/src/forward/fleet/entry.rs
@@ -1,70 +1,70 @@
-//! The entry that a target writes of itself.
+//! The entry that a target writes about itself.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
 
 use crate::forward::cost::Layers;
 
-/// When a run of a target started: milliseconds of Unix time, by the target's own clock.
+/// Start time of a run of a target: milliseconds of Unix time on the target's clock.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Born(pub u64);
 
-/// A short digest of [`Born`] that distinguishes the runs under one id in messages, where each byte counts; two runs collide in one of
-/// 16,383 cases. 0 stands for a run without a known start.
+/// A compact digest of [`Born`] that distinguishes the runs of one id in messages, where every byte
+/// counts. Two runs collide with a probability of 1 in 16,383. 0 stands for an unknown start time.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default)]
 pub struct RunMark(pub u16);
 
-/// Marks other than 0: as many as two bytes on the wire hold.
-const MARKS: u64 = (1 << 14) - 1;
+/// Number of marks other than 0: as many as fit a varint of two bytes.
+const MARK_COUNT: u64 = (1 << 14) - 1;
 
 impl RunMark {
-    /// Whether two marks under one id stand for the same run; an unknown mark matches any.
+    /// Whether two marks of one id denote the same run; an unknown mark matches any.
     pub fn is_same(self, other: RunMark) -> bool {
-        let untold = RunMark::default();
-        self == other || self == untold || other == untold
+        let unknown = RunMark::default();
+        self == other || self == unknown || other == unknown
     }
 }
 
 impl From<Option<Born>> for RunMark {
     fn from(born: Option<Born>) -> Self {
-        RunMark(born.map_or(0, |born| (born.0 % MARKS) as u16 + 1))
+        RunMark(born.map_or(0, |born| (born.0 % MARK_COUNT) as u16 + 1))
     }
 }
 
-/// A run of a target: its id, which a later run may have again, and the mark of its start.
+/// A run of a target: its id, which a later run may reuse, and the mark of its start time.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct TargetRun {
     /// The target's id.
     pub id: Arc<str>,
-    /// Distinguishes its runs.
+    /// Distinguishes the runs of this id.
     pub mark: RunMark,
 }
 
-/// A target as its own entry describes it.
+/// A target as described by its own entry.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Entry {
-    /// Identity of the target; a later run may have it again.
+    /// The target's id; a later run may reuse it.
     pub id: Arc<str>,
-    /// When this run started, if the target tells.
+    /// Start time of this run, if the target reports it.
     pub born: Option<Born>,
     /// The service it belongs to.
     pub service: Arc<str>,
-    /// Where it listens.
+    /// The address it listens on.
     pub address: SocketAddr,
     /// Its failure domain.
     pub domain: Arc<str>,
-    /// Whether it takes no new work because it is leaving.
+    /// Whether it accepts no new requests because it is leaving.
     pub draining: bool,
-    /// Requests it runs at once.
+    /// Maximum number of requests it runs concurrently.
     pub slots: u32,
-    /// Its kind of card, if it runs a layered model.
+    /// Its accelerator type, if it runs a layered model.
     pub card: Option<Arc<str>>,
-    /// Layers it holds.
+    /// The layers it holds.
     pub layers: Layers,
 }
 
 impl Entry {
-    /// The run that wrote the entry.
+    /// Returns the run that wrote the entry.
     pub fn run(&self) -> TargetRun {
         TargetRun {
             id: self.id.clone(),
@@ -72,30 +72,31 @@
         }
     }
 
-    /// Compares the run of this entry with that of a known one with the same id or address; without a known start they count as the
-    /// same run.
+    /// Compares the run of this entry with the run of a known entry that has the same id or
+    /// address. Runs without a known start time count as the same.
     pub fn run_since(&self, known: &Entry) -> RunOrder {
         RunOrder::of(self.born, known.born)
     }
 }
 
-/// How two runs with one id or address relate.
+/// Order of two runs that have the same id or address.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RunOrder {
-    /// The target started again.
+    /// The target restarted.
     Later,
-    /// They are one run, as far as is known.
+    /// Both are the same run, as far as is known.
     Same,
-    /// It is an earlier run, whose entry was received late.
+    /// An earlier run, whose entry was delayed.
     Earlier,
 }
 
 impl RunOrder {
-    /// Compares a run that started at `told` with one that started at `known`; without a start they count as the same run.
-    pub fn of(told: Option<Born>, known: Option<Born>) -> Self {
-        match (told, known) {
-            (Some(told), Some(known)) if told > known => RunOrder::Later,
-            (Some(told), Some(known)) if told < known => RunOrder::Earlier,
+    /// Compares a run that started at `start` with one that started at `known`. Without start times
+    /// they count as the same run.
+    pub fn of(start: Option<Born>, known: Option<Born>) -> Self {
+        match (start, known) {
+            (Some(start), Some(known)) if start > known => RunOrder::Later,
+            (Some(start), Some(known)) if start < known => RunOrder::Earlier,
             _ => RunOrder::Same,
         }
     }
@@ -104,8 +105,8 @@
 /// How an entry became known.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Evidence {
-    /// It stands in a list, and may have been written long ago.
+    /// Read from a listing; it may have been written long ago.
     Listed,
-    /// The target wrote it a moment ago.
+    /// The target has just written it.
     Written,
 }
--- a/reachtally-core/src/forward/fleet/health.rs
+++ b/reachtally-core/src/forward/fleet/health.rs
@@ -1,73 +1,75 @@
-//! What is concluded from a target's failures.
+//! Failure tracking of a target.
 
 use std::time::Duration;
 
 use crate::time::Instant;
 
-/// Hold-off after a first failure. A crashed engine is seen by several requests at once, and a
-/// single lost answer should not cost an engine much.
-const FIRST_HOLD: Duration = Duration::from_millis(500);
-/// Hold-off of a target that refused a request because it is full: its load is known anew by then.
-const FULL_HOLD: Duration = Duration::from_millis(150);
-/// How long a target that contradicted its entry is left alone, unless the entry changes before: entries
-/// that lapse do so after three heartbeats of a second or so.
-const CONTRADICTED_HOLD: Duration = Duration::from_secs(4);
-/// Longest hold-off.
-const LONGEST_HOLD: Duration = Duration::from_secs(8);
-/// A target that worked this long since its last failure starts over with the first hold-off.
-const FORGIVEN_AFTER: Duration = Duration::from_secs(10);
-/// An entry that is read this long after its target was found dead was written by a live target:
-/// entries are read within a second.
+/// Cooldown after the first failure. Several requests notice a crashed engine at once, and a single
+/// lost answer should not exclude an engine for long.
+const INITIAL_COOLDOWN: Duration = Duration::from_millis(500);
+/// Cooldown of a target that refused a request because it is full; its load is known again by then.
+const FULL_COOLDOWN: Duration = Duration::from_millis(150);
+/// Cooldown of a target that contradicted its entry, unless the entry changes before. An outdated
+/// entry expires after three heartbeats of about a second each.
+const CONTRADICTED_COOLDOWN: Duration = Duration::from_secs(4);
+/// Longest cooldown.
+const MAX_COOLDOWN: Duration = Duration::from_secs(8);
+/// A failure that comes later than this after the previous one starts over with the initial
+/// cooldown.
+const COOLDOWN_RESET_AFTER: Duration = Duration::from_secs(10);
+/// An entry read later than this after its target was found dead was written by a live target,
+/// since entries are read within a second.
 const HEARTBEAT_DELAY: Duration = Duration::from_millis(1300);
-/// Time until a dead target is probed again; doubles with each probe that fails.
-const FIRST_PROBE_PAUSE: Duration = Duration::from_millis(600);
-/// Longest such time.
-const LONGEST_PROBE_PAUSE: Duration = Duration::from_millis(2400);
-/// A target that was found dead within this time before its failure domain was found unreachable is taken to be dead for that
-/// reason alone.
-const CUT_DELAY: Duration = Duration::from_secs(1);
-
-/// Failures of a target and what was concluded.
+/// Time until a dead target is probed again; doubles with each failed probe.
+const INITIAL_PROBE_INTERVAL: Duration = Duration::from_millis(600);
+/// Longest time between two probes.
+const MAX_PROBE_INTERVAL: Duration = Duration::from_millis(2400);
+/// A target that was found dead less than this before its failure domain became unreachable is
+/// assumed to be dead only because of that.
+const DOMAIN_CUT_DELAY: Duration = Duration::from_secs(1);
+
+/// Failures of a target and the conclusions from them.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct Health {
-    /// No requests before this instant unless nothing else is left.
+    /// Requests avoid the target until then, unless no other target is left.
     pub held_until: Option<Instant>,
-    /// Until when it is taken to have no room, whatever is reckoned.
+    /// The target counts as full until then, whatever its computed load.
     full_until: Option<Instant>,
-    hold: Duration,
+    cooldown: Duration,
     failed_at: Option<Instant>,
-    /// Since when it takes no connections.
+    /// Since when it accepts no connections.
     dead_since: Option<Instant>,
-    /// When it is probed next while it is dead.
+    /// Time of the next probe while it is dead.
     probe_at: Instant,
-    probe_pause: Duration,
+    probe_interval: Duration,
     /// Since when this box reaches no target of its failure domain.
     unreachable_since: Option<Instant>,
-    /// When it was last seen to take a connection or write its entry.
+    /// When it last accepted a connection or wrote its entry.
     alive_at: Option<Instant>,
-    /// Until when it is left alone because it does not hold what its entry says.
+    /// Requests avoid it until then because it does not hold what its entry says.
     contradicted_until: Option<Instant>,
     /// Since when another target has its address.
     superseded_at: Option<Instant>,
 }
 
 impl Health {
-    /// Whether the target is held off.
+    /// Whether the target is in a cooldown.
     pub fn is_held(&self, now: Instant) -> bool {
         self.held_until.is_some_and(|until| now < until) || self.is_full(now)
     }
 
-    /// Whether the target refused a request a moment ago.
+    /// Whether the target recently refused a request because it was full.
     pub fn is_full(&self, now: Instant) -> bool {
         self.full_until.is_some_and(|until| now < until)
     }
 
-    /// Whether the target takes no connections, as far as is known.
+    /// Whether the target is known to accept no connections.
     pub fn is_dead(&self) -> bool {
         self.dead_since.is_some() || self.is_unreachable() || self.superseded_at.is_some()
     }
 
-    /// Whether this box found that the target takes no connections, or that it reaches no target of its failure domain.
+    /// Whether this box found that the target accepts no connections, or that its whole failure
+    /// domain is unreachable.
     pub fn is_silent(&self) -> bool {
         (self.dead_since.is_some() || self.is_unreachable()) && self.superseded_at.is_none()
     }
@@ -78,60 +80,62 @@
     }
 
     /// Whether the target itself was found dead while its failure domain is reachable.
-    pub fn is_alone_silent(&self) -> bool {
+    pub fn is_individually_unresponsive(&self) -> bool {
         self.is_silent() && !self.is_unreachable()
     }
 
-    /// When the target is probed next while it is dead.
+    /// Time of the next probe while the target is dead.
     pub fn probe_at(&self) -> Instant {
         self.probe_at
     }
 
-    /// A dead target was probed in vain.
+    /// Schedules the next probe after a failed one.
     pub fn probed_in_vain(&mut self, now: Instant) {
-        self.probe_at = now + self.probe_pause;
-        self.probe_pause = (self.probe_pause * 2).min(LONGEST_PROBE_PAUSE);
+        self.probe_at = now + self.probe_interval;
+        self.probe_interval = (self.probe_interval * 2).min(MAX_PROBE_INTERVAL);
     }
 
-    /// This box reaches the failure domain of the target, or no longer does.
+    /// Updates whether this box reaches the failure domain of the target.
     pub(super) fn set_reachable(&mut self, is_reachable: bool, now: Instant) {
         if !is_reachable {
             self.unreachable_since.get_or_insert(now);
             return;
         }
         if let Some(since) = self.unreachable_since.take() {
-            self.dead_since.take_if(|at| *at + CUT_DELAY >= since);
+            self.dead_since
+                .take_if(|at| *at + DOMAIN_CUT_DELAY >= since);
         }
     }
 
-    /// Whether the target lately turned out not to hold what its entry says.
+    /// Whether the target recently turned out not to hold what its entry says.
     pub fn is_contradicted(&self, now: Instant) -> bool {
         self.contradicted_until.is_some_and(|until| now < until)
     }
 
-    /// The target does not hold what its entry says: another run may have taken its address.
+    /// Records that the target does not hold what its entry says: another run may have taken its
+    /// address.
     pub fn contradicted(&mut self, now: Instant) {
-        self.contradicted_until = Some(now + CONTRADICTED_HOLD);
+        self.contradicted_until = Some(now + CONTRADICTED_COOLDOWN);
     }
 
-    /// The target took no connection.
+    /// Records that the target did not accept a connection.
     pub fn found_dead(&mut self, now: Instant) {
         if self.dead_since.is_none() {
             self.dead_since = Some(now);
-            self.probe_pause = FIRST_PROBE_PAUSE;
+            self.probe_interval = INITIAL_PROBE_INTERVAL;
             self.probed_in_vain(now);
         }
     }
 
-    /// The target took a connection.
+    /// Records that the target accepted a connection.
     pub fn found_alive(&mut self, now: Instant) {
         self.dead_since = None;
         self.alive_at = Some(now);
     }
 
-    /// The target wrote its entry; yields whether it is back at an address that another claimed. Only a live target goes
-    /// on writing, so the claim was wrong.
-    pub(super) fn wrote(&mut self, now: Instant) -> bool {
+    /// Records that the target wrote its entry. Returns whether it is back at an address that
+    /// another target claimed: only a live target keeps writing, so the claim was wrong.
+    pub(super) fn entry_written(&mut self, now: Instant) -> bool {
         let is_later = |at: Instant| now.since(at) > HEARTBEAT_DELAY;
         if self.dead_since.is_none_or(is_later) {
             self.found_alive(now);
@@ -139,13 +143,13 @@
         self.superseded_at.take_if(|at| is_later(*at)).is_some()
     }
 
-    /// Its entry changed: what it contradicted before says nothing of that.
+    /// Clears the contradiction, which refers to the previous entry.
     pub(super) fn entry_changed(&mut self) {
         self.contradicted_until = None;
     }
 
-    /// Another target has its address.
-    pub(super) fn superseded(&mut self, now: Instant) {
+    /// Records that another target claimed its address.
+    pub(super) fn mark_superseded(&mut self, now: Instant) {
         self.superseded_at.get_or_insert(now);
     }
 
@@ -159,24 +163,24 @@
         self.alive_at
     }
 
-    /// The target refused a request, which is no failure.
+    /// Records that the target refused a request because it was full, which is not a failure.
     pub fn refused(&mut self, now: Instant) {
-        self.full_until = Some(now + FULL_HOLD);
+        self.full_until = Some(now + FULL_COOLDOWN);
     }
 
-    /// Count a failure: each one in a row doubles the hold-off.
+    /// Records a failure; each consecutive one doubles the cooldown.
     pub fn failed(&mut self, now: Instant) {
         if self.is_held(now) {
             return;
         }
-        let forgiven = self
+        let is_reset = self
             .failed_at
-            .is_none_or(|at| now.since(at) > FORGIVEN_AFTER);
-        self.hold = match forgiven {
-            true => FIRST_HOLD,
-            false => (self.hold * 2).clamp(FIRST_HOLD, LONGEST_HOLD),
+            .is_none_or(|at| now.since(at) > COOLDOWN_RESET_AFTER);
+        self.cooldown = match is_reset {
+            true => INITIAL_COOLDOWN,
+            false => (self.cooldown * 2).clamp(INITIAL_COOLDOWN, MAX_COOLDOWN),
         };
         self.failed_at = Some(now);
-        self.held_until = Some(now + self.hold);
+        self.held_until = Some(now + self.cooldown);
     }
 }
--- a/reachtally-core/src/forward/fleet/notice.rs
+++ b/reachtally-core/src/forward/fleet/notice.rs
@@ -8,22 +8,24 @@
 use crate::forward::limit::{RateLimit, StatedLimit};
 use crate::time::Instant;
 
-/// Most runs without a row whose notices are kept, which bounds the memory where a fleet is replaced again and again. Far more than
-/// leave or ask for back-off within [`KEPT_FOR`].
-const MOST_KEPT: usize = 4096;
+/// Upper bound on the runs without a row whose notices are retained; limits the memory when a fleet
+/// is replaced repeatedly. Far more than the runs that leave or ask for back-off within
+/// [`RETENTION`].
+const MAX_RETAINED: usize = 4096;
 
-/// Least time for which the notice of a run without a row is kept: longer than leaving targets go on serving, and than the copies
-/// from which a store may be restored are old.
-const KEPT_FOR: Duration = Duration::from_secs(600);
+/// Minimum time for which the notice of a run without a row is retained: longer than leaving
+/// targets keep serving, and longer than the age of the copies from which a store may be restored.
+const RETENTION: Duration = Duration::from_secs(600);
 
-/// What a run asked of this box, or of all boxes. It holds for as long as the run lives, whatever becomes of the run's entry.
+/// What a run asked of this box or of all boxes. It is valid for the lifetime of the run, even if
+/// the run's entry is removed.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
 pub struct Notice {
-    /// End of the back-off that it asked for.
+    /// End of the requested back-off.
     back_off_until: Option<Instant>,
-    /// Whether it said that it leaves, for good.
+    /// Whether the run announced that it is leaving; never reset.
     is_leaving: bool,
-    /// What it last stated of its rate limit, and when that changed.
+    /// The last statement on its rate limit, and when the limit changed.
     stated_limit: Option<(StatedLimit, Instant)>,
 }
 
@@ -33,12 +35,13 @@
         self.back_off_until = self.back_off_until.max(Some(until));
     }
 
-    /// Marks the run as leaving, for good.
+    /// Marks the run as leaving permanently.
     pub fn leave(&mut self) {
         self.is_leaving = true;
     }
 
-    /// Takes in a statement on the run's rate limit, unless a newer one is known; yields whether the limit changed.
+    /// Records a statement on the run's rate limit unless a newer one is known. Returns whether the
+    /// limit changed.
     pub fn state_limit(&mut self, stated: StatedLimit, now: Instant) -> bool {
         let (known, changed_at) = self.stated_limit.unzip();
         let newest = stated.newer(known);
@@ -53,42 +56,42 @@
         self.stated_limit
     }
 
-    /// The rate limit that all boxes together must keep, if the run states one.
+    /// The rate limit that applies to all boxes together, if the run states one.
     pub fn limit(&self) -> Option<RateLimit> {
         let (stated, _) = self.stated_limit?;
         stated.limit
     }
 
-    /// Whether the run said that it leaves.
+    /// Whether the run announced that it is leaving.
     pub fn is_leaving(&self) -> bool {
         self.is_leaving
     }
 
-    /// Returns the end of the back-off, if that is not over.
+    /// Returns the end of the back-off if it is still in effect.
     pub fn backs_off_until(&self, now: Instant) -> Option<Instant> {
         self.back_off_until.filter(|until| now < *until)
     }
 
-    /// Whether this box backs off from the run at present.
+    /// Whether this box is backing off from the run.
     pub fn is_backing_off(&self, now: Instant) -> bool {
         self.backs_off_until(now).is_some()
     }
 }
 
-/// The notice of a run without a row.
+/// The notice of a run that has no row.
 #[derive(Debug)]
-struct Kept {
+struct RetainedNotice {
     mark: RunMark,
     notice: Notice,
     /// When it expires.
     until: Instant,
-    /// Whether the run had a row.
+    /// Whether the run had a row before.
     had_row: bool,
 }
 
-impl Kept {
-    /// Order of removal: notices that say nothing, then those that end first.
-    fn order(&self) -> (bool, Option<Instant>, Instant) {
+impl RetainedNotice {
+    /// Eviction order: notices without content first, then those that expire first.
+    fn eviction_order(&self) -> (bool, Option<Instant>, Instant) {
         (
             self.notice.is_leaving,
             self.notice.back_off_until,
@@ -97,45 +100,47 @@
     }
 }
 
-/// Notices of runs without a row, by the ids of their targets.
+/// Notices of runs that have no row, by target id.
 ///
-/// An entry may go and come back within the life of a run; the notice must not go with it.
+/// An entry may disappear and reappear during a run; its notice must survive that.
 #[derive(Debug, Default)]
-pub(super) struct Notices(HashMap<Arc<str>, Kept>);
+pub(super) struct Notices(HashMap<Arc<str>, RetainedNotice>);
 
 impl Notices {
-    /// Keeps the notice of a run whose row is removed.
+    /// Retains the notice of a run whose row is removed.
     pub fn keep(&mut self, run: TargetRun, notice: Notice, now: Instant) {
         self.insert(run, notice, true, now);
     }
 
     fn insert(&mut self, run: TargetRun, notice: Notice, had_row: bool, now: Instant) {
-        if self.0.len() >= MOST_KEPT {
-            self.make_place(now);
+        if self.0.len() >= MAX_RETAINED {
+            self.evict(now);
         }
-        let usual = now + KEPT_FOR;
-        let kept = Kept {
+        let earliest = now + RETENTION;
+        let retained = RetainedNotice {
             mark: run.mark,
             notice,
             had_row,
-            until: notice.back_off_until.map_or(usual, |end| end.max(usual)),
+            until: notice
+                .back_off_until
+                .map_or(earliest, |end| end.max(earliest)),
         };
-        self.0.insert(run.id, kept);
+        self.0.insert(run.id, retained);
     }
 
-    /// Whether a run had a row and lost it.
+    /// Whether a run had a row that was removed.
     pub fn has(&self, run: &TargetRun) -> bool {
-        let kept = self.0.get(&run.id);
-        kept.is_some_and(|kept| kept.had_row && run.mark.is_same(kept.mark))
+        let retained = self.0.get(&run.id);
+        retained.is_some_and(|retained| retained.had_row && run.mark.is_same(retained.mark))
     }
 
-    /// The notice of a run that has no row.
+    /// Returns the notice of a run that has no row.
     pub fn get(&self, run: &TargetRun) -> Option<Notice> {
-        let kept = self.0.get(&run.id)?;
-        run.mark.is_same(kept.mark).then_some(kept.notice)
+        let retained = self.0.get(&run.id)?;
+        run.mark.is_same(retained.mark).then_some(retained.notice)
     }
 
-    /// Changes the notice of a run without a row.
+    /// Updates the notice of a run that has no row.
     pub fn change(&mut self, run: &TargetRun, now: Instant, change: impl FnOnce(&mut Notice)) {
         let had_row = self.has(run);
         let mut notice = self.take(run);
@@ -143,20 +148,25 @@
         self.insert(run.clone(), notice, had_row, now);
     }
 
-    /// Removes and returns the notice of a run that gets a row; the default if the id was another run's.
+    /// Removes and returns the notice of a run that gets a row; the default if the retained one is
+    /// of another run.
     pub fn take(&mut self, run: &TargetRun) -> Notice {
-        let kept = self.0.remove(&run.id);
-        let own = kept.filter(|kept| run.mark.is_same(kept.mark));
-        own.map_or_else(Notice::default, |kept| kept.notice)
+        let retained = self.0.remove(&run.id);
+        let own = retained.filter(|retained| run.mark.is_same(retained.mark));
+        own.map_or_else(Notice::default, |retained| retained.notice)
     }
 
-    /// Removes expired notices, or else the first by [`Kept::order`].
-    fn make_place(&mut self, now: Instant) {
-        self.0.retain(|_, kept| now < kept.until);
-        if self.0.len() < MOST_KEPT {
+    /// Removes expired notices; if none has expired, the first by
+    /// [`RetainedNotice::eviction_order`].
+    fn evict(&mut self, now: Instant) {
+        self.0.retain(|_, retained| now < retained.until);
+        if self.0.len() < MAX_RETAINED {
             return;
         }
-        let soonest = self.0.iter().min_by_key(|(_, kept)| kept.order());
+        let soonest = self
+            .0
+            .iter()
+            .min_by_key(|(_, retained)| retained.eviction_order());
         if let Some(id) = soonest.map(|(id, _)| id.clone()) {
             self.0.remove(&id);
         }
--- a/reachtally-core/src/forward/loads/mod.rs
+++ b/reachtally-core/src/forward/loads/mod.rs
@@ -11,7 +11,7 @@
 use std::time::Duration;
 
 use crate::forward::count::DomainCount;
-use crate::forward::fleet::{QUEUE_LIFE, RunMark, TargetRun};
+use crate::forward::fleet::{QUEUE_TTL, RunMark, TargetRun};
 use crate::forward::limit::{DemandPart, Grants, LimitReport, PermitRequest};
 use crate::forward::quarantine::Told;
 use crate::forward::shares::{AccountRates, AccountShares};
@@ -77,7 +77,7 @@
             reading: self.reading.min(MOST_TOKENS),
             pace: self.pace.filter(|pace| pace.is_finite()),
             silent: self.silent.min(MOST_RUNNING),
-            queue: self.queue.filter(|queue| queue.age < QUEUE_LIFE),
+            queue: self.queue.filter(|queue| queue.age < QUEUE_TTL),
         }
     }
 
@@ -88,7 +88,7 @@
             ..queue
         });
         Load {
-            queue: queue.filter(|queue| queue.age < QUEUE_LIFE),
+            queue: queue.filter(|queue| queue.age < QUEUE_TTL),
             ..self
         }
     }
--- a/reachtally-core/src/forward/loads/remote.rs
+++ b/reachtally-core/src/forward/loads/remote.rs
@@ -76,7 +76,7 @@
         tokens: engine.tokens as u32,
         reading: engine.reading as u32,
         pace: engine.own_pace(now),
-        silent: u32::from(engine.health.is_alone_silent()),
+        silent: u32::from(engine.health.is_individually_unresponsive()),
         queue: engine.queues.own(now).map(|stated| QueueReport {
             waiting: stated.waiting,
             age: now.since(stated.at),
--- a/reachtally-core/src/forward/mod.rs
+++ b/reachtally-core/src/forward/mod.rs
@@ -1,9 +1,9 @@
-//! Requests that are forwarded whole: to a chain of engines that hand activations on among
-//! themselves, or to one instance of a plain service.
+//! Forwarding of whole requests, either to a chain of engines that pass activations to each other
+//! or to one instance of a plain service.
 //!
-//! The tables here are fed from outside (configuration, engine entries, answers) and asked for
-//! decisions: which route a request takes, which engines run it, whether it may be sent a second
-//! time, which layers an engine should hold. Nothing here knows a wire format.
+//! The tables of this module are updated from configuration, target entries and answers. They
+//! decide which route a request takes, which engines run it, whether it may be sent a second time,
+//! and which layers an engine should hold. They are independent of any wire format.
 
 pub mod admission;
 pub mod budget;
