--- a/reachtally-core/src/forward/limit/allocator.rs
+++ b/reachtally-core/src/forward/limit/allocator.rs
@@ -1,4 +1,4 @@
-//! Issuing permits at a collector.
+//! Permit allocation at a collector.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
 use std::sync::Arc;
@@ -6,52 +6,56 @@
 
 use super::{DemandPart, DemandRate, Grant, Grants, PermitRequest, RateLimit, ServiceDemand};
 use crate::forward::fleet::TargetRun;
-use crate::forward::loads::REPORT_LIFE;
+use crate::forward::loads::REPORT_TTL;
 use crate::ids::Incarnation;
 use crate::time::Instant;
 
-/// Time for which a bucket is filled beyond its first token: longer than the time between two requests of a box.
-const BUCKET_TIME: Duration = Duration::from_millis(300);
-/// Time constant with which a domain's part of a limit follows the demand. It covers the time after which collectors know of each other's.
-const PART_SMOOTHING: Duration = Duration::from_millis(500);
-/// Time for which a box holds permits at most, by its demand. Shorter than their life, so that few expire unused.
-const HELD_TIME: Duration = Duration::from_millis(500);
-/// Most permits in one answer, so that it fits a datagram.
-const MOST_GRANTED: usize = 40;
+/// Time whose tokens a bucket holds in addition to the first one: longer than the interval between
+/// two requests of a box.
+const BURST_TIME: Duration = Duration::from_millis(300);
+/// Time constant with which a domain's share of a limit follows the demand. It covers the delay
+/// until collectors know each other's demand.
+const SHARE_SMOOTHING: Duration = Duration::from_millis(500);
+/// Maximum time for which a box holds permits in advance, at its current demand. Shorter than the
+/// lifetime of permits, so that few expire unused.
+const MAX_HOLDING_TIME: Duration = Duration::from_millis(500);
+/// Upper bound on the permits in one answer, so that it fits a datagram.
+const MAX_GRANTED: usize = 40;
 
-/// A target with a limit that boxes send requests to.
+/// A rate-limited target that boxes send requests to.
 #[derive(Debug, Clone, PartialEq)]
 pub struct LimitedTarget {
     /// The run of the target.
     pub target: TargetRun,
     /// Its service.
     pub service: Arc<str>,
-    /// Its limit.
+    /// Its rate limit.
     pub limit: RateLimit,
 }
 
-/// Whom a collector shares the limits with.
+/// The set of collectors that share the limits.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Extent {
-    /// Failure domains, this one included; at least 1.
+    /// Number of failure domains, including this one; at least 1.
     pub domains: usize,
-    /// Upper bound on the part of a limit that this collector issues; below 1 where others may issue without knowing of it.
+    /// Upper bound on the share of a limit that this collector allocates; below 1 if others may
+    /// allocate without knowing of it.
     pub largest_part: f64,
 }
 
-/// A box that asks for permits here.
+/// A box that requests permits here.
 #[derive(Debug)]
-struct Asker {
+struct Requester {
     number: u64,
     received_at: Instant,
     demands: Vec<ServiceDemand>,
 }
 
-impl Asker {
-    /// Permits by service that it can use beside those it holds.
+impl Requester {
+    /// Returns the permits that it can use in addition to those it holds, by service.
     fn allowances(&self) -> BTreeMap<Arc<str>, u32> {
         let allowance = |demand: &ServiceDemand| {
-            let usable = demand.rate.per_second() * HELD_TIME.as_secs_f64();
+            let usable = demand.rate.per_second() * MAX_HOLDING_TIME.as_secs_f64();
             (usable.ceil() as u32).saturating_sub(demand.held)
         };
         let each = self.demands.iter();
@@ -68,49 +72,49 @@
     demands: Vec<ServiceDemand>,
 }
 
-/// Tokens for one target.
+/// Token bucket of one target.
 #[derive(Debug)]
 struct Bucket {
     service: Arc<str>,
     tokens: f64,
 }
 
-/// Issues the permits of a failure domain.
+/// Allocates the permits of a failure domain.
 #[derive(Debug, Default)]
 pub struct Allocator {
-    askers: BTreeMap<Incarnation, Asker>,
+    requesters: BTreeMap<Incarnation, Requester>,
     peers: BTreeMap<Incarnation, Peer>,
     buckets: HashMap<TargetRun, Bucket>,
-    /// This domain's part of the limits, by service.
-    parts: HashMap<Arc<str>, f64>,
-    /// Targets with a token by service, the least recently used first.
+    /// This domain's share of the limits, by service.
+    shares: HashMap<Arc<str>, f64>,
+    /// Targets that have a token, by service; least recently used first.
     ready: HashMap<Arc<str>, VecDeque<TargetRun>>,
-    filled: Option<Instant>,
+    refilled_at: Option<Instant>,
 }
 
 impl Allocator {
-    /// Answers a request; `None` if a newer one of the box was answered.
+    /// Answers a request; `None` if a newer request of that box was already answered.
     pub fn answer(&mut self, req: PermitRequest, now: Instant) -> Option<Grants> {
-        let asker = self.askers.entry(req.run).or_insert_with(|| Asker {
+        let requester = self.requesters.entry(req.run).or_insert_with(|| Requester {
             number: 0,
             received_at: now,
             demands: Vec::new(),
         });
-        if req.number <= asker.number {
+        if req.number <= requester.number {
             return None;
         }
-        asker.number = req.number;
-        asker.received_at = now;
-        asker.demands = req.demands;
+        requester.number = req.number;
+        requester.received_at = now;
+        requester.demands = req.demands;
         Some(Grants {
             number: req.number,
             grants: self.issue(req.run),
         })
     }
 
-    /// Removes a box that asks another collector from now on.
+    /// Removes a box that sends its requests to another collector from now on.
     pub fn leave(&mut self, run: Incarnation) {
-        self.askers.remove(&run);
+        self.requesters.remove(&run);
     }
 
     /// Updates the demand of another collector.
@@ -123,10 +127,13 @@
         self.peers.insert(part.run, peer);
     }
 
-    /// Returns the demand of the boxes that ask here, by service.
+    /// Returns the total demand of the boxes that request permits here, by service.
     pub fn own_demands(&self) -> Vec<ServiceDemand> {
         let mut sums: BTreeMap<&Arc<str>, (DemandRate, u32)> = BTreeMap::new();
-        let demands = self.askers.values().flat_map(|asker| &asker.demands);
+        let demands = self
+            .requesters
+            .values()
+            .flat_map(|requester| &requester.demands);
         for demand in demands {
             let (rate, held) = sums.entry(&demand.service).or_default();
             *rate = *rate + demand.rate;
@@ -141,41 +148,44 @@
         .collect()
     }
 
-    /// Fills the buckets of `targets` for the time since the last call, and drops all others.
+    /// Refills the buckets of `targets` for the time since the last call and removes all others.
     pub fn refill(&mut self, targets: &[LimitedTarget], extent: Extent, now: Instant) {
-        let is_valid = |at: Instant| now.since(at) < REPORT_LIFE;
-        self.askers.retain(|_, asker| is_valid(asker.received_at));
+        let is_valid = |at: Instant| now.since(at) < REPORT_TTL;
+        self.requesters
+            .retain(|_, requester| is_valid(requester.received_at));
         self.peers.retain(|_, peer| is_valid(peer.received_at));
-        let passed = now.since(self.filled.unwrap_or(now));
-        self.filled = Some(now);
-        self.adjust_parts(targets, extent, passed);
-        self.keep_buckets(targets);
+        let passed = now.since(self.refilled_at.unwrap_or(now));
+        self.refilled_at = Some(now);
+        self.adjust_shares(targets, extent, passed);
+        self.sync_buckets(targets);
         for target in targets {
-            let part = self.parts.get(&target.service).copied();
-            let rate = target.limit.per_second() * part.unwrap_or_default();
+            let share = self.shares.get(&target.service).copied();
+            let rate = target.limit.per_second() * share.unwrap_or_default();
             self.fill(&target.target, rate, passed);
         }
     }
 
-    /// Moves this domain's part of the limits of each service towards its part of the demand.
-    fn adjust_parts(&mut self, targets: &[LimitedTarget], extent: Extent, passed: Duration) {
+    /// Moves this domain's share of each service's limits towards its share of the demand.
+    fn adjust_shares(&mut self, targets: &[LimitedTarget], extent: Extent, passed: Duration) {
         let own = self.own_demands();
         let services: BTreeSet<&Arc<str>> = targets.iter().map(|target| &target.service).collect();
-        self.parts.retain(|service, _| services.contains(service));
-        let even = 1.0 / extent.domains.max(1) as f64;
-        let moved = 1.0 - (-passed.as_secs_f64() / PART_SMOOTHING.as_secs_f64()).exp();
+        self.shares.retain(|service, _| services.contains(service));
+        let equal_share = 1.0 / extent.domains.max(1) as f64;
+        let step = 1.0 - (-passed.as_secs_f64() / SHARE_SMOOTHING.as_secs_f64()).exp();
         for service in services {
-            let aim = self.part_of_demand(service, &own, extent).unwrap_or(even);
-            let before = self.parts.get(service).copied().unwrap_or(even);
-            let part = before + (aim - before) * moved;
-            self.parts
-                .insert(service.clone(), part.min(extent.largest_part));
+            let desired = self
+                .demand_share(service, &own, extent)
+                .unwrap_or(equal_share);
+            let before = self.shares.get(service).copied().unwrap_or(equal_share);
+            let share = before + (desired - before) * step;
+            self.shares
+                .insert(service.clone(), share.min(extent.largest_part));
         }
     }
 
-    /// Returns this domain's part of the demand for a service; `None` without demand. A domain that did not report counts like the
-    /// largest.
-    fn part_of_demand(&self, service: &str, own: &[ServiceDemand], extent: Extent) -> Option<f64> {
+    /// Returns this domain's share of the demand for a service; `None` without demand. A domain
+    /// that did not report is assumed to have the largest demand.
+    fn demand_share(&self, service: &str, own: &[ServiceDemand], extent: Extent) -> Option<f64> {
         let own = rate_of(own, service);
         let peers = self.peers.values();
         let rates: Vec<f64> = peers.map(|peer| rate_of(&peer.demands, service)).collect();
@@ -186,7 +196,7 @@
         (all > 0.0).then_some(own / all)
     }
 
-    fn keep_buckets(&mut self, targets: &[LimitedTarget]) {
+    fn sync_buckets(&mut self, targets: &[LimitedTarget]) {
         let listed: BTreeSet<&TargetRun> = targets.iter().map(|target| &target.target).collect();
         self.buckets.retain(|target, _| listed.contains(target));
         for ready in self.ready.values_mut() {
@@ -207,7 +217,7 @@
             return;
         };
         let was_ready = bucket.tokens >= 1.0;
-        let most = 1.0 + rate * BUCKET_TIME.as_secs_f64();
+        let most = 1.0 + rate * BURST_TIME.as_secs_f64();
         bucket.tokens = (bucket.tokens + rate * passed.as_secs_f64()).min(most);
         if bucket.tokens >= 1.0 && !was_ready {
             let ready = self.ready.entry(bucket.service.clone()).or_default();
@@ -215,15 +225,15 @@
         }
     }
 
-    /// Issues permits to a box, as many as it can use: one for each of its services in turn, and of each service one for each
-    /// target in turn.
+    /// Issues as many permits to a box as it can use, in round-robin order over its services and,
+    /// within a service, over its targets.
     fn issue(&mut self, run: Incarnation) -> Vec<Grant> {
-        let Some(asker) = self.askers.get(&run) else {
+        let Some(requester) = self.requesters.get(&run) else {
             return Vec::new();
         };
-        let mut wanted: VecDeque<(Arc<str>, u32)> = asker.allowances().into_iter().collect();
+        let mut wanted: VecDeque<(Arc<str>, u32)> = requester.allowances().into_iter().collect();
         let mut issued: BTreeMap<TargetRun, u32> = BTreeMap::new();
-        let mut left = MOST_GRANTED;
+        let mut left = MAX_GRANTED;
         while left > 0
             && let Some((service, allowance)) = wanted.pop_front()
         {
--- a/reachtally-core/src/forward/limit/demand.rs
+++ b/reachtally-core/src/forward/limit/demand.rs
@@ -1,4 +1,4 @@
-//! How many requests callers have for each service.
+//! Request rates of the callers, by service.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -7,26 +7,27 @@
 use crate::forward::rate::MeanRate;
 use crate::time::Instant;
 
-/// Time constant of the mean rate, in ms. The parts of a limit move between failure domains as slowly, so that what collectors know late of each
-/// other does not count twice.
+/// Time constant of the mean rate, in ms. The shares of a limit move between failure domains just
+/// as slowly, so that demand which other collectors learn late is not counted twice.
 const SMOOTHING_MS: u64 = 1000;
-/// Rate below which a service counts as without demand, in requests a second.
-const LEAST_RATE: f64 = 0.01;
-/// Upper bound on the rate that one sender can report, in requests a second; rejects corrupt reports.
-const HIGHEST_RATE: f64 = 1_000_000.0;
+/// Rate below which a service counts as without demand, in requests per second.
+const MIN_RATE: f64 = 0.01;
+/// Upper bound on the rate that one sender can report, in requests per second; rejects corrupt
+/// reports.
+const MAX_RATE: f64 = 1_000_000.0;
 
-/// A rate of requests a second, finite and not negative.
+/// A finite, non-negative rate of requests per second.
 #[derive(Debug, Clone, Copy, PartialEq, PartialOrd, Default)]
 pub struct DemandRate(f64);
 
 impl DemandRate {
-    /// Creates a rate, cut to the upper bound; `NaN` is 0.
+    /// Creates a rate, clamped to the upper bound; `NaN` becomes 0.
     pub fn new(per_second: f64) -> Self {
         let number = if per_second.is_nan() { 0.0 } else { per_second };
-        DemandRate(number.clamp(0.0, HIGHEST_RATE))
+        DemandRate(number.clamp(0.0, MAX_RATE))
     }
 
-    /// Requests a second.
+    /// Requests per second.
     pub fn per_second(self) -> f64 {
         self.0
     }
@@ -40,7 +41,7 @@
     }
 }
 
-/// The requests that callers of a box have, by service.
+/// Request rates of the callers of a box, by service.
 #[derive(Debug, Default)]
 pub struct Demand(HashMap<Arc<str>, MeanRate<SMOOTHING_MS>>);
 
@@ -51,9 +52,10 @@
         mean.count(now);
     }
 
-    /// Returns the services with demand, without the permits held; services without demand are removed.
+    /// Returns the services with demand, with [`ServiceDemand::held`] set to 0; services without
+    /// demand are removed.
     pub fn services(&mut self, now: Instant) -> Vec<ServiceDemand> {
-        self.0.retain(|_, mean| mean.at(now) >= LEAST_RATE);
+        self.0.retain(|_, mean| mean.at(now) >= MIN_RATE);
         let each = self.0.iter();
         each.map(|(service, mean)| ServiceDemand {
             service: service.clone(),
--- a/reachtally-core/src/forward/limit/mod.rs
+++ b/reachtally-core/src/forward/limit/mod.rs
@@ -1,8 +1,9 @@
-//! Rate limits that targets state for all boxes together.
+//! Rate limits that targets impose on all boxes together.
 //!
-//! A send to a target with a limit needs a permit. The collector of each failure domain issues them, out of a token bucket for
-//! each such target that is filled at the domain's part of the limit; the parts follow the demand that the collectors report to each other. A permit
-//! expires soon, so that what is issued bounds what arrives, however many boxes there are.
+//! A send to a rate-limited target requires a permit. The collector of each failure domain issues
+//! permits from one token bucket per target, which is filled at the domain's share of the limit;
+//! the shares follow the demand that collectors report to each other. Permits expire soon, so that
+//! the number issued bounds the number of requests that arrive, however many boxes there are.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -21,41 +22,43 @@
 pub use permits::Permits;
 pub use spread::{apply, changes, limited_targets, note_held, page};
 
-/// Time from its issue until a permit expires. Shorter, and boxes with few requests leave more of them unused; longer, and more requests may
-/// arrive in a window.
+/// Time from issue until a permit expires. A shorter time leaves more permits unused in boxes with
+/// few requests; a longer time allows more requests to arrive within a window.
 pub const PERMIT_LIFE: Duration = Duration::from_millis(1000);
 
-/// Lowest rate that is believed, in requests a second: answers are what shows that a limit has ended.
-const LEAST_PER_SECOND: f64 = 0.25;
+/// Minimum accepted rate, in requests per second: only answers show that a limit has ended, so some
+/// requests must be sent.
+const MIN_PER_SECOND: f64 = 0.25;
 
-/// The rate at which a target accepts requests from all boxes together, in requests a second.
+/// The rate at which a target accepts requests from all boxes together, in requests per second.
 #[derive(Debug, Clone, Copy, PartialEq, PartialOrd)]
 pub struct RateLimit(f64);
 
 impl RateLimit {
-    /// A limit of `per_second`; `None` if that is no number. Lower rates than one request in four seconds are raised to that.
+    /// Creates a limit of `per_second`; `None` for `NaN`. Rates below one request in four seconds
+    /// are raised to that rate.
     pub fn new(per_second: f64) -> Option<Self> {
         let is_number = !per_second.is_nan();
-        is_number.then_some(RateLimit(per_second.clamp(LEAST_PER_SECOND, f64::MAX)))
+        is_number.then_some(RateLimit(per_second.clamp(MIN_PER_SECOND, f64::MAX)))
     }
 
-    /// Requests a second.
+    /// Requests per second.
     pub fn per_second(self) -> f64 {
         self.0
     }
 }
 
-/// What a target stated of its limit in an answer.
+/// What a target stated about its limit in an answer.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct StatedLimit {
-    /// The limit; `None` if the answer named none.
+    /// The limit; `None` if the answer stated none.
     pub limit: Option<RateLimit>,
     /// When the answer was received.
     pub at: Instant,
 }
 
 impl StatedLimit {
-    /// The newer of two statements of one run.
+    /// Returns the newer of two statements of the same run.
     pub fn newer(self, other: Option<StatedLimit>) -> Self {
         match other {
             Some(other) if other.at > self.at => other,
@@ -64,7 +67,7 @@
     }
 }
 
-/// A statement on a target's limit, as boxes report it to each other.
+/// A statement about a target's limit, as boxes report it to each other.
 #[derive(Debug, Clone, PartialEq)]
 pub struct LimitReport {
     /// The run of the target.
@@ -75,36 +78,36 @@
     pub age: Duration,
 }
 
-/// Requests a second that a box, or a failure domain, has for a service.
+/// Demand of a box or a failure domain for a service.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ServiceDemand {
     /// The service.
     pub service: Arc<str>,
-    /// Requests a second.
+    /// Request rate.
     pub rate: DemandRate,
-    /// Permits for targets of the service that are held unused.
+    /// Unused permits for targets of the service.
     pub held: u32,
 }
 
-/// From a box to its collector: asks for permits.
+/// From a box to its collector: requests permits.
 #[derive(Debug, Clone, PartialEq)]
 pub struct PermitRequest {
-    /// The box's run.
+    /// The run of the box.
     pub run: Incarnation,
-    /// Numbers its requests.
+    /// Sequence number of the request.
     pub number: u64,
-    /// What its callers ask for.
+    /// The demand of its callers, by service.
     pub demands: Vec<ServiceDemand>,
 }
 
-/// From a collector to another: the demand of the boxes that report to it.
+/// From one collector to another: the demand of the boxes that report to it.
 #[derive(Debug, Clone, PartialEq)]
 pub struct DemandPart {
-    /// The collector's run.
+    /// The run of the collector.
     pub run: Incarnation,
-    /// Its failure domain.
+    /// The failure domain of the collector.
     pub domain: String,
-    /// The demand by service.
+    /// The demand, by service.
     pub demands: Vec<ServiceDemand>,
 }
 
@@ -113,14 +116,14 @@
 pub struct Grant {
     /// The run of the target.
     pub target: TargetRun,
-    /// Sends that are permitted.
+    /// Number of permitted sends.
     pub count: u32,
 }
 
 /// From a collector to a box: the permits that answer a request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Grants {
-    /// Number of the request.
+    /// Sequence number of the request.
     pub number: u64,
     /// The permits.
     pub grants: Vec<Grant>,
--- a/reachtally-core/src/forward/limit/permits.rs
+++ b/reachtally-core/src/forward/limit/permits.rs
@@ -1,29 +1,29 @@
-//! Permits that a box holds.
+//! Permits held by a box.
 
 use super::PERMIT_LIFE;
 use crate::time::Instant;
 
-/// Most permits held for one target; a grant beyond it is an error of the sender.
-const MOST_HELD: usize = 256;
+/// Upper bound on the permits held for one target; a grant beyond it is an error of the sender.
+const MAX_HELD: usize = 256;
 
 /// The permits that a box holds for one target. Each allows one send until it expires.
 #[derive(Debug, Clone, Default)]
 pub struct Permits {
-    /// When each expires, the first one first.
+    /// Expiry times, earliest first.
     expiries: Vec<Instant>,
 }
 
 impl Permits {
-    /// Adds `count` permits that were issued now.
+    /// Adds `count` permits issued at `now`.
     pub fn add(&mut self, count: u32, now: Instant) {
         self.drop_expired(now);
-        let place = MOST_HELD.saturating_sub(self.expiries.len());
-        let count = (count as usize).min(place);
+        let room = MAX_HELD.saturating_sub(self.expiries.len());
+        let count = (count as usize).min(room);
         self.expiries
             .extend(std::iter::repeat_n(now + PERMIT_LIFE, count));
     }
 
-    /// Permits that are still valid.
+    /// Returns the number of permits that are still valid.
     pub fn held(&self, now: Instant) -> u32 {
         self.expiries.iter().filter(|expiry| now < **expiry).count() as u32
     }
@@ -33,7 +33,7 @@
         self.expiries.last().is_some_and(|expiry| now < *expiry)
     }
 
-    /// Uses the permit that expires first; returns whether there was one.
+    /// Consumes the permit that expires first. Returns whether there was one.
     pub fn take(&mut self, now: Instant) -> bool {
         self.drop_expired(now);
         if self.expiries.is_empty() {
--- a/reachtally-core/src/forward/limit/spread.rs
+++ b/reachtally-core/src/forward/limit/spread.rs
@@ -1,4 +1,4 @@
-//! Reporting limits to other boxes, and applying their reports.
+//! Exchange of rate limits with other boxes.
 
 use std::time::Duration;
 
@@ -6,10 +6,10 @@
 use crate::forward::fleet::{Engine, Fleet};
 use crate::time::Instant;
 
-/// Time for which a change is repeated with each report, since datagrams are lost.
-const CHANGE_REPEATED: Duration = Duration::from_millis(700);
-/// Time for which the end of a limit stays in the pages of all limits.
-const END_REPEATED: Duration = Duration::from_secs(10);
+/// Time for which each report repeats a change, since datagrams may be lost.
+const CHANGE_REPEAT_TIME: Duration = Duration::from_millis(700);
+/// Time for which the pages of all limits include a limit that has ended.
+const END_REPEAT_TIME: Duration = Duration::from_secs(10);
 
 fn report(engine: &Engine, stated: StatedLimit, now: Instant) -> LimitReport {
     LimitReport {
@@ -19,11 +19,11 @@
     }
 }
 
-/// Returns the limits that changed lately, the newest first, at most `most`.
+/// Returns at most `most` limits that changed recently, newest first.
 pub fn changes(fleet: &Fleet, most: usize, now: Instant) -> Vec<LimitReport> {
     let stated = fleet.stated_limits();
     let mut changed: Vec<_> = stated
-        .filter(|(_, _, changed_at)| now.since(*changed_at) < CHANGE_REPEATED)
+        .filter(|(_, _, changed_at)| now.since(*changed_at) < CHANGE_REPEAT_TIME)
         .collect();
     changed.sort_by_key(|(_, _, changed_at)| std::cmp::Reverse(*changed_at));
     changed.truncate(most);
@@ -32,12 +32,12 @@
         .collect()
 }
 
-/// Returns page `number` of all limits, wrapping around, with `most` limits each.
+/// Returns page `number`, modulo the number of pages, of all limits, with `most` limits per page.
 pub fn page(fleet: &Fleet, number: u64, most: usize, now: Instant) -> Vec<LimitReport> {
     let stated = fleet.stated_limits();
     let held: Vec<_> = stated
         .filter(|(_, stated, changed_at)| {
-            stated.limit.is_some() || now.since(*changed_at) < END_REPEATED
+            stated.limit.is_some() || now.since(*changed_at) < END_REPEAT_TIME
         })
         .collect();
     let pages = held.len().div_ceil(most).max(1);
@@ -47,7 +47,7 @@
         .collect()
 }
 
-/// Applies the report of another box; returns whether the limit changed.
+/// Applies the report of another box. Returns whether the limit changed.
 pub fn apply(fleet: &mut Fleet, report: &LimitReport, now: Instant) -> bool {
     let at = now.before(report.age);
     let limit = report.limit;
@@ -66,7 +66,7 @@
     }
 }
 
-/// Returns the targets for which permits are issued.
+/// Returns the targets for which permits are allocated.
 pub fn limited_targets(fleet: &Fleet) -> Vec<LimitedTarget> {
     let stated = fleet.stated_limits();
     let limited = stated.filter_map(|(engine, stated, _)| {
--- a/reachtally-core/src/forward/loads/pages.rs
+++ b/reachtally-core/src/forward/loads/pages.rs
@@ -1,4 +1,4 @@
-//! Reports in pages: a report of many targets takes several datagrams.
+//! Paged reports: a report of many targets takes several datagrams.
 
 use std::collections::HashMap;
 
@@ -6,24 +6,25 @@
 use crate::ids::Incarnation;
 
 /// Upper bound on the pages of one report; rejects corrupt counts.
-const MOST_PAGES: u32 = 1_000;
+const MAX_PAGES: u32 = 1_000;
 
-/// Pages of one report, in the order of their index.
+/// Pages of one report, by index.
 #[derive(Debug)]
 struct Pending {
     number: u64,
     pages: Vec<Option<Vec<TargetLoad>>>,
 }
 
-/// Puts the pages of reports together. A report with a lost page is dropped: the one before it holds until the next.
+/// Reassembles reports from their pages. A report with a lost page is dropped; the previous one
+/// stays in effect until the next.
 #[derive(Debug, Default)]
 pub struct Assembler(HashMap<Incarnation, Pending>);
 
 impl Assembler {
-    /// Takes in a page; returns the report if that completes it.
+    /// Adds a page. Returns the report if it is now complete.
     pub fn add(&mut self, page: ReportPage) -> Option<Report> {
         let ReportPage { run, number, .. } = page;
-        if page.count > MOST_PAGES || page.index >= page.count {
+        if page.count > MAX_PAGES || page.index >= page.count {
             return None;
         }
         let is_older = |pending: &Pending| pending.number > number;
@@ -50,7 +51,7 @@
         })
     }
 
-    /// Keeps only the pages of boxes for which `is_known` holds.
+    /// Retains only the pages of boxes for which `is_known` returns true.
     pub fn retain(&mut self, is_known: impl Fn(Incarnation) -> bool) {
         self.0.retain(|run, _| is_known(*run));
     }
--- a/reachtally-core/src/forward/loads/received.rs
+++ b/reachtally-core/src/forward/loads/received.rs
@@ -1,24 +1,26 @@
-//! Loads that were received, with their age.
+//! Received loads and their age.
 
 use std::collections::HashMap;
 
-use super::{Load, REPORT_LIFE, TargetLoad};
+use super::{Load, REPORT_TTL, TargetLoad};
 use crate::forward::fleet::TargetRun;
 use crate::time::Instant;
 
-/// The last load received of each target, and when.
+/// The last received load of each target, with the time of receipt.
 #[derive(Debug, Default)]
-pub(super) struct Received(HashMap<TargetRun, (Load, Instant)>);
+pub(super) struct ReceivedLoads(HashMap<TargetRun, (Load, Instant)>);
 
-impl Received {
-    pub fn hear(&mut self, loads: Vec<TargetLoad>, now: Instant) {
-        let loads = loads.into_iter().map(|told| (told.target, told.load));
+impl ReceivedLoads {
+    pub fn update(&mut self, loads: Vec<TargetLoad>, now: Instant) {
+        let loads = loads
+            .into_iter()
+            .map(|reported| (reported.target, reported.load));
         self.0
             .extend(loads.map(|(target, load)| (target, (load.bounded(), now))));
     }
 
     pub fn remove_expired(&mut self, now: Instant) {
-        self.0.retain(|_, (_, at)| now.since(*at) < REPORT_LIFE);
+        self.0.retain(|_, (_, at)| now.since(*at) < REPORT_TTL);
     }
 
     /// Returns the loads as of `now`.
--- a/reachtally-core/src/forward/loads/remote.rs
+++ b/reachtally-core/src/forward/loads/remote.rs
@@ -1,59 +1,61 @@
-//! What a box knows of the loads of other boxes, and what it reports of its own.
+//! The loads of other boxes as known to this box, and the report of its own.
 
-use super::received::Received;
+use super::received::ReceivedLoads;
 use super::{Load, Others, QueueReport, Report, TargetLoad};
 use crate::forward::count::BoxCount;
 use crate::forward::fleet::{Engine, Fleet, StatedQueue, TargetRun};
 use crate::ids::Incarnation;
 use crate::time::Instant;
 
-/// The requests of other boxes, as far as they are reported.
+/// The reported loads of other boxes.
 #[derive(Debug, Default)]
 pub struct RemoteLoads {
-    told: Received,
+    received: ReceivedLoads,
     count: BoxCount,
-    /// Failure domains in the last message with counts.
+    /// Number of failure domains in the last message with box counts.
     domains: usize,
 }
 
 impl RemoteLoads {
-    /// Takes in a message of a collector, and updates the targets.
+    /// Receives a message of a collector and updates the targets.
     pub fn hear(&mut self, others: Others, fleet: &mut Fleet, now: Instant) {
-        for told in &others.loads {
-            put(fleet, &told.target, &told.load.bounded(), now);
+        for reported in &others.loads {
+            set_remote_load(fleet, &reported.target, &reported.load.bounded(), now);
         }
-        for told in &others.counts {
-            self.count.hear(told, now);
+        for reported in &others.counts {
+            self.count.hear(reported, now);
         }
         if !others.counts.is_empty() {
             self.domains = others.counts.len();
         }
-        self.told.hear(others.loads, now);
+        self.received.update(others.loads, now);
     }
 
     /// Removes expired loads, also from the targets.
     pub fn remove_expired(&mut self, fleet: &mut Fleet, now: Instant) {
-        self.told.remove_expired(now);
+        self.received.remove_expired(now);
         self.count.remove_expired(now);
         fleet.clear_remote();
-        for (target, load) in self.told.iter(now) {
-            put(fleet, target, &load, now);
+        for (target, load) in self.received.iter(now) {
+            set_remote_load(fleet, target, &load, now);
         }
     }
 
-    /// Failure domains whose requests are part of the loads; 0 before the first count.
+    /// Number of failure domains whose requests are included in the loads; 0 before the first
+    /// count.
     pub fn domains_heard(&self) -> usize {
         self.domains
     }
 
-    /// Boxes in all `domains` failure domains, this one included; `None` before the first count. See [`BoxCount::boxes`].
+    /// Returns the number of boxes in all `domains` failure domains, including this one; `None`
+    /// before the first count. See [`BoxCount::boxes`].
     pub fn boxes(&self, domains: usize) -> Option<u32> {
         self.count.boxes(domains)
     }
 }
 
 /// Sets the remote load of a target.
-fn put(fleet: &mut Fleet, target: &TargetRun, load: &Load, now: Instant) {
+fn set_remote_load(fleet: &mut Fleet, target: &TargetRun, load: &Load, now: Instant) {
     if let Some(engine) = fleet.find_run(target).and_then(|key| fleet.get_mut(key)) {
         engine.remote_running = f64::from(load.running);
         engine.remote_tokens = f64::from(load.tokens);
@@ -69,7 +71,7 @@
     }
 }
 
-/// Reports the loads of this box.
+/// Returns the report of this box's loads.
 pub fn own_report(run: Incarnation, number: u64, fleet: &Fleet, now: Instant) -> Report {
     let load = |engine: &Engine| Load {
         running: engine.running,
@@ -89,6 +91,6 @@
     Report {
         run,
         number,
-        loads: loads.filter(|told| !told.load.is_nothing()).collect(),
+        loads: loads.filter(|reported| !reported.load.is_zero()).collect(),
     }
 }
