--- a/reachtally-core/src/forward/quarantine/mod.rs
+++ b/reachtally-core/src/forward/quarantine/mod.rs
@@ -1,12 +1,14 @@
-//! Requests that crash the targets which begin to run them.
+//! Quarantine of requests that crash the targets which begin to run them.
 //!
-//! A target that ends under a request may be at fault, or the request may be. Each end alone proves little: it takes a
-//! hundred requests with it. What tells the one that is to blame is that it is there at the next end too, and has had no whole
-//! answer. So each end of a run is kept by the request's fingerprint, all boxes tell each other, and a request that
-//! enough runs ended under gets no more targets, whichever box it comes to and under whatever id.
+//! A crash of a target while it runs a request may be caused by the target or by the request. A
+//! single crash proves little, because it hits a hundred requests at once. The request to blame is
+//! also present at the next crash and has had no complete answer. So each crash is recorded under
+//! the request's fingerprint and exchanged between all boxes, and a request with enough crashes is
+//! no longer sent to any target, whichever box receives it and whatever its id.
 //!
-//! What boxes tell stands for itself and is merged: ends by the run that ended, so that boxes which see one end count it
-//! once, and acquittals end by end, so that a late message takes none back.
+//! Reports are self-contained and mergeable. Crashes are keyed by the crashed run, so that boxes
+//! which notice the same crash count it once. Each crash is cleared individually, so that a delayed
+//! message does not undo it.
 
 use std::collections::{BTreeMap, HashMap};
 use std::time::Duration;
@@ -14,68 +16,71 @@
 use crate::forward::fingerprint::Fingerprint;
 use crate::time::Instant;
 
-mod case;
+mod suspect;
 
-use case::Case;
-pub use case::{AccountDigest, ENDS_KEPT, End, RunDigest, Verdict};
+use suspect::SuspectRequest;
+pub use suspect::{AccountDigest, ENDS_KEPT, End, RunDigest, Verdict};
 
-/// How long a request is remembered after the last end under it, or the last time that it was refused. Callers give up long before.
+/// How long a request is remembered after its last crash or its last refusal. Callers give up long
+/// before.
 pub const CASE_LIFE: Duration = Duration::from_secs(600);
-/// Requests that are remembered at most: some 100 bytes each.
+/// Maximum number of remembered requests, of about 100 bytes each.
 pub const MOST_CASES: usize = 256;
-/// Most of them that may be one account's, so that none can push out the others'.
+/// Maximum number of remembered requests per account, so that no account can evict those of others.
 pub const MOST_CASES_OF_ACCOUNT: usize = 64;
-/// How long a change is told anew with each report, since messages may be lost.
-const TOLD_AGAIN: Duration = Duration::from_millis(700);
-/// Requests in one message. With [`ENDS_KEPT`] ends each it fits a datagram that is not split on the way.
+/// How long a change is repeated with each report, since messages may be lost.
+const CHANGE_REPEAT_TIME: Duration = Duration::from_millis(700);
+/// Requests per message. With [`ENDS_KEPT`] crashes each, the message fits a datagram that is not
+/// fragmented.
 pub const CASES_TOLD: usize = 9;
 
-/// What is told of a request.
+/// A report about a request, exchanged between boxes.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Told {
     /// The request.
     pub fingerprint: Fingerprint,
     /// Its account.
     pub account: AccountDigest,
-    /// How much longer it is remembered.
+    /// Remaining time for which it is remembered.
     pub life: Duration,
-    /// Runs that ended under it.
+    /// The crashes while it was running.
     pub ends: Vec<End>,
 }
 
-/// Which changes are told.
+/// Selects changes by their origin.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Origin {
-    /// Those that this box made.
+    /// Changes made by this box.
     Own,
-    /// Those that it heard of, too.
+    /// Changes made by this box or received from others.
     Any,
 }
 
-/// The requests under which runs of targets ended.
+/// The requests during which targets crashed.
 #[derive(Debug, Default)]
 pub struct Quarantine {
-    cases: BTreeMap<Fingerprint, Case>,
+    suspects: BTreeMap<Fingerprint, SuspectRequest>,
 }
 
 impl Quarantine {
-    /// Whether nothing is remembered, so that no request needs a look.
+    /// Whether no request is remembered, so that no lookup is needed.
     pub fn is_empty(&self) -> bool {
-        self.cases.is_empty()
+        self.suspects.is_empty()
     }
 
-    /// Requests remembered.
+    /// Number of remembered requests.
     pub fn len(&self) -> usize {
-        self.cases.len()
+        self.suspects.len()
     }
 
-    /// What is held of a request.
+    /// Returns the verdict on a request.
     pub fn verdict(&self, fingerprint: Fingerprint) -> Verdict {
-        let case = self.cases.get(&fingerprint);
-        case.map_or(Verdict::Clear, Case::verdict)
+        let suspect = self.suspects.get(&fingerprint);
+        suspect.map_or(Verdict::Clear, SuspectRequest::verdict)
     }
 
-    /// A run ended under a request of `account`; yields the verdict if that is news.
+    /// Records a crash of a run while a request of `account` was assigned to it. Returns the
+    /// verdict if anything changed.
     pub fn run_ended(
         &mut self,
         fingerprint: Fingerprint,
@@ -83,126 +88,130 @@
         end: End,
         now: Instant,
     ) -> Option<Verdict> {
-        let told = Told {
+        let report = Told {
             fingerprint,
             account,
             life: CASE_LIFE,
             ends: vec![end],
         };
-        if !self.merge(&told, Origin::Own, now) {
+        if !self.merge(&report, Origin::Own, now) {
             return None;
         }
         Some(self.verdict(fingerprint))
     }
 
-    /// A request had a whole answer, so the ends under it that are known were not its fault; yields whether that is news.
+    /// Records a complete answer to a request, which clears it of the crashes known so far. Returns
+    /// whether anything changed.
     pub fn acquit(&mut self, fingerprint: Fingerprint, now: Instant) -> bool {
-        let Some(case) = self.cases.get_mut(&fingerprint) else {
+        let Some(suspect) = self.suspects.get_mut(&fingerprint) else {
             return false;
         };
-        let is_news = case.acquit();
-        if is_news {
-            case.changed(Origin::Own, now);
+        let is_changed = suspect.acquit();
+        if is_changed {
+            suspect.changed(Origin::Own, now);
         }
-        is_news
+        is_changed
     }
 
-    /// A request was refused for what is held of it, so it goes on coming and is remembered longer.
+    /// Extends the life of a quarantined request that was refused, since its caller keeps sending
+    /// it.
     pub fn refused(&mut self, fingerprint: Fingerprint, now: Instant) {
-        if let Some(case) = self.cases.get_mut(&fingerprint) {
-            case.expires = now + CASE_LIFE;
+        if let Some(suspect) = self.suspects.get_mut(&fingerprint) {
+            suspect.expires = now + CASE_LIFE;
         }
     }
 
-    /// Take in what another box told; yields whether something of it is news.
-    pub fn hear(&mut self, told: &Told, now: Instant) -> bool {
-        self.merge(told, Origin::Any, now)
+    /// Receives the report of another box. Returns whether anything changed.
+    pub fn hear(&mut self, report: &Told, now: Instant) -> bool {
+        self.merge(report, Origin::Any, now)
     }
 
-    fn merge(&mut self, told: &Told, origin: Origin, now: Instant) -> bool {
-        let life = told.life.min(CASE_LIFE);
-        if life.is_zero() || told.ends.is_empty() {
+    fn merge(&mut self, report: &Told, origin: Origin, now: Instant) -> bool {
+        let life = report.life.min(CASE_LIFE);
+        if life.is_zero() || report.ends.is_empty() {
             return false;
         }
-        if !self.cases.contains_key(&told.fingerprint) {
-            self.make_room(told.account);
+        if !self.suspects.contains_key(&report.fingerprint) {
+            self.make_room(report.account);
         }
-        let case = self.cases.entry(told.fingerprint);
-        let case = case.or_insert_with(|| Case::new(told.account, now));
-        case.expires = case.expires.max(now + life);
-        let is_news = case.merge(&told.ends);
-        if is_news {
-            case.changed(origin, now);
+        let suspect = self.suspects.entry(report.fingerprint);
+        let suspect = suspect.or_insert_with(|| SuspectRequest::new(report.account, now));
+        suspect.expires = suspect.expires.max(now + life);
+        let is_changed = suspect.merge(&report.ends);
+        if is_changed {
+            suspect.changed(origin, now);
         }
-        is_news
+        is_changed
     }
 
-    /// Forget what is old.
+    /// Removes expired requests.
     pub fn remove_expired(&mut self, now: Instant) {
-        self.cases.retain(|_, case| now < case.expires);
+        self.suspects.retain(|_, suspect| now < suspect.expires);
     }
 
-    /// Forget a case where a new one of `account` would be one too many: of that account if it has its part, else of the
-    /// one that has the most.
+    /// Evicts a request if a new one of `account` would exceed a limit: one of that account if it
+    /// has reached its own limit, else one of the account that has the most.
     fn make_room(&mut self, account: AccountDigest) {
         let mut counts: HashMap<AccountDigest, usize> = HashMap::new();
-        for case in self.cases.values() {
-            *counts.entry(case.account).or_default() += 1;
+        for suspect in self.suspects.values() {
+            *counts.entry(suspect.account).or_default() += 1;
         }
         let own = counts.get(&account).copied().unwrap_or_default();
         let from = if own >= MOST_CASES_OF_ACCOUNT {
             Some(account)
-        } else if self.cases.len() >= MOST_CASES {
+        } else if self.suspects.len() >= MOST_CASES {
             let largest = counts.into_iter().max_by_key(|(_, count)| *count);
             largest.map(|(account, _)| account)
         } else {
             None
         };
         if let Some(from) = from {
-            self.forget_least(from);
+            self.evict_least(from);
         }
     }
 
-    /// Forget the case of an account that matters least: one that stops nothing, then the one that would be forgotten first.
-    fn forget_least(&mut self, account: AccountDigest) {
+    /// Evicts the least important request of an account: the least severe verdict first, then the
+    /// earliest expiry.
+    fn evict_least(&mut self, account: AccountDigest) {
         let of_account = self
-            .cases
+            .suspects
             .iter()
-            .filter(|(_, case)| case.account == account);
-        let least = of_account.min_by_key(|(_, case)| (case.verdict(), case.expires));
+            .filter(|(_, suspect)| suspect.account == account);
+        let least = of_account.min_by_key(|(_, suspect)| (suspect.verdict(), suspect.expires));
         let least = least.map(|(fingerprint, _)| *fingerprint);
         if let Some(least) = least {
-            self.cases.remove(&least);
+            self.suspects.remove(&least);
         }
     }
 
-    /// What is held of a request.
+    /// Returns a report about a request.
     pub fn tell(&self, fingerprint: Fingerprint, now: Instant) -> Option<Told> {
-        let case = self.cases.get(&fingerprint)?;
-        Some(case.tell(fingerprint, now))
+        let suspect = self.suspects.get(&fingerprint)?;
+        Some(suspect.to_report(fingerprint, now))
     }
 
-    /// What has changed lately, for others; the newest that fits a message.
+    /// Returns recent changes for other boxes: the newest ones that fit a message.
     pub fn changes(&self, origin: Origin, now: Instant) -> Vec<Told> {
-        let is_told = |case: &Case| {
-            let is_new = now.since(case.changed_at) < TOLD_AGAIN;
-            is_new && (origin == Origin::Any || case.changed_by == Origin::Own)
+        let is_due = |suspect: &SuspectRequest| {
+            let is_new = now.since(suspect.changed_at) < CHANGE_REPEAT_TIME;
+            is_new && (origin == Origin::Any || suspect.changed_by == Origin::Own)
         };
-        let told = self.cases.iter().filter(|(_, case)| is_told(case));
-        let mut told: Vec<(&Fingerprint, &Case)> = told.collect();
-        told.sort_by_key(|(_, case)| std::cmp::Reverse(case.changed_at));
-        told.truncate(CASES_TOLD);
-        told.into_iter()
-            .map(|(fingerprint, case)| case.tell(*fingerprint, now))
+        let changed = self.suspects.iter().filter(|(_, suspect)| is_due(suspect));
+        let mut changed: Vec<(&Fingerprint, &SuspectRequest)> = changed.collect();
+        changed.sort_by_key(|(_, suspect)| std::cmp::Reverse(suspect.changed_at));
+        changed.truncate(CASES_TOLD);
+        changed
+            .into_iter()
+            .map(|(fingerprint, suspect)| suspect.to_report(*fingerprint, now))
             .collect()
     }
 
-    /// Page `number` of all that is remembered, counted round and round.
+    /// Returns page `number`, modulo the number of pages, of all remembered requests.
     pub fn page(&self, number: u64, now: Instant) -> Vec<Told> {
-        let pages = self.cases.len().div_ceil(CASES_TOLD).max(1);
+        let pages = self.suspects.len().div_ceil(CASES_TOLD).max(1);
         let skipped = (number % pages as u64) as usize * CASES_TOLD;
-        let page = self.cases.iter().skip(skipped).take(CASES_TOLD);
-        page.map(|(fingerprint, case)| case.tell(*fingerprint, now))
+        let page = self.suspects.iter().skip(skipped).take(CASES_TOLD);
+        page.map(|(fingerprint, suspect)| suspect.to_report(*fingerprint, now))
             .collect()
     }
 }
--- a/reachtally-core/src/forward/quarantine/case.rs
+++ b/reachtally-core/src/forward/quarantine/suspect.rs
@@ -1,4 +1,4 @@
-//! One request, and the runs of targets that ended under it.
+//! A suspect request and the runs of targets that crashed while running it.
 
 use sha2::{Digest, Sha256};
 
@@ -7,15 +7,17 @@
 use crate::forward::fleet::TargetRun;
 use crate::time::Instant;
 
-/// Ends that a request had just begun at, without a whole answer since, from which it gets no more targets. Of the requests that
-/// one end takes along one to three have just begun; hardly any is among those of two ends without being the cause.
-const BEGUN_ENDS: usize = 2;
-/// The same where it is not known whether it had begun: requests that merely waited there count too.
-const ANY_ENDS: usize = 3;
-/// Ends kept of a request; more decide nothing.
+/// Number of crashes shortly after the request began, without a complete answer since, at which it
+/// is quarantined. One crash hits one to three requests that have just begun; hardly any request is
+/// among those of two crashes without being the cause.
+const STARTED_CRASH_LIMIT: usize = 2;
+/// Number of crashes at which the request is quarantined if it is unknown whether it had begun:
+/// requests that were merely queued at the target count too.
+const CRASH_LIMIT: usize = 3;
+/// Crashes kept per request; further ones do not change the verdict.
 pub const ENDS_KEPT: usize = 8;
 
-/// Tells runs of targets apart.
+/// Digest that distinguishes runs of targets.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct RunDigest(pub u32);
 
@@ -28,7 +30,7 @@
     }
 }
 
-/// Tells client accounts apart.
+/// Digest that distinguishes client accounts.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct AccountDigest(pub u32);
 
@@ -39,20 +41,21 @@
     }
 }
 
-/// The first four bytes of a digest.
+/// Returns the first four bytes of a digest.
 fn first_word(hasher: Sha256) -> u32 {
     let digest = hasher.finalize();
     u32::from_be_bytes([digest[0], digest[1], digest[2], digest[3]])
 }
 
-/// The end of a run under a request.
+/// A crash of a run while a request was assigned to it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct End {
-    /// The run.
+    /// The run that crashed.
     pub run: RunDigest,
-    /// Whether it had just begun the request: the answer's head had come, and nothing of its body.
+    /// Whether it had just begun the request: the head of the answer had arrived, but nothing of
+    /// its body.
     pub had_begun: bool,
-    /// Whether the request has had a whole answer since.
+    /// Whether the request has been answered completely since.
     pub is_acquitted: bool,
 }
 
@@ -63,32 +66,32 @@
     }
 }
 
-/// What is held of a request, from the least to the most.
+/// Assessment of a request, from the least to the most severe.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Verdict {
-    /// Nothing.
+    /// No suspicion.
     Clear,
-    /// Runs ended under it, which may be chance.
+    /// Targets crashed while running it, possibly by coincidence.
     Suspected,
-    /// It gets no more targets.
+    /// It is no longer sent to any target.
     Quarantined,
 }
 
-/// What is known of one request.
+/// The record of one request.
 #[derive(Debug)]
-pub(super) struct Case {
+pub(super) struct SuspectRequest {
     pub account: AccountDigest,
-    /// Those that are not acquitted first.
+    /// Crashes that were not cleared come first.
     ends: Vec<End>,
-    /// When it is forgotten.
+    /// When the record expires.
     pub expires: Instant,
     pub changed_at: Instant,
     pub changed_by: Origin,
 }
 
-impl Case {
+impl SuspectRequest {
     pub fn new(account: AccountDigest, now: Instant) -> Self {
-        Case {
+        SuspectRequest {
             account,
             ends: Vec::new(),
             expires: now,
@@ -100,8 +103,8 @@
     pub fn verdict(&self) -> Verdict {
         let held = self.ends.iter().filter(|end| !end.is_acquitted);
         let any = held.clone().count();
-        let begun = held.filter(|end| end.had_begun).count();
-        if begun >= BEGUN_ENDS || any >= ANY_ENDS {
+        let started = held.filter(|end| end.had_begun).count();
+        if started >= STARTED_CRASH_LIMIT || any >= CRASH_LIMIT {
             Verdict::Quarantined
         } else if any > 0 {
             Verdict::Suspected
@@ -110,8 +113,8 @@
         }
     }
 
-    /// Take in ends; yields whether something of them is news. All boxes keep the same ones of many, so that they
-    /// don't tell each other forever.
+    /// Merges crashes. Returns whether anything changed. If there are too many, all boxes keep the
+    /// same ones, so that they do not exchange changes endlessly.
     pub fn merge(&mut self, ends: &[End]) -> bool {
         let before = self.ends.clone();
         for end in ends {
@@ -125,13 +128,13 @@
         self.ends != before
     }
 
-    /// None of the ends known is its fault; yields whether that is news.
+    /// Clears the request of all known crashes. Returns whether anything changed.
     pub fn acquit(&mut self) -> bool {
-        let acquitted = |end: &End| End {
+        let cleared = |end: &End| End {
             is_acquitted: true,
             ..*end
         };
-        let ends: Vec<End> = self.ends.iter().map(acquitted).collect();
+        let ends: Vec<End> = self.ends.iter().map(cleared).collect();
         self.merge(&ends)
     }
 
@@ -140,7 +143,7 @@
         self.changed_by = by;
     }
 
-    pub fn tell(&self, fingerprint: Fingerprint, now: Instant) -> Told {
+    pub fn to_report(&self, fingerprint: Fingerprint, now: Instant) -> Told {
         Told {
             fingerprint,
             account: self.account,
