--- a/reachtally-core/src/forward/budget.rs
+++ b/reachtally-core/src/forward/budget.rs
@@ -1,32 +1,33 @@
-//! The budget of second sends that all boxes share.
+//! A budget of retries that all boxes share.
 //!
-//! The boxes do not ask each other before a second send. Each takes its own requests' share of the
-//! ratio and an even share of the fixed part, so that the sum stays within the bound.
+//! Boxes do not coordinate before a retry. Each uses the part of the ratio that its own
+//! requests earn and an equal share of the fixed slack, so that the sum stays within the bound.
 //!
-//! A box knows nothing of what its earlier run took, though the window still counts it. So a run is young for one window,
-//! and two parts of the bound are kept apart: what settled runs take, and what young ones take beside it. Within any window
-//! the run that was settled takes at most the first, and all young runs after it together, however often the box starts
-//! again, at most the second.
+//! A box does not know what its previous run used, although the window still counts it. A run
+//! therefore counts as new for one window, and the bound is split into one part for settled runs
+//! and one for new runs. Within any window, the settled run uses at most the first part and all new
+//! runs after it together use at most the second, however often the box restarts.
 
 use std::collections::VecDeque;
 use std::time::Duration;
 
 use crate::time::Instant;
 
-/// Number of slices that a window is counted in.
+/// Number of slices per window.
 const SLICES: u32 = 20;
-/// Part of its share that a settled run uses.
-const SETTLED_PART: f64 = 0.7;
-/// Part of its share that young runs use, of the ratio from their first requests on, of the fixed part as time passes.
-/// What the two leave covers boxes that came or left since the count.
-const YOUNG_PART: f64 = 0.2;
+/// Fraction of its share that a settled run uses.
+const SETTLED_FRACTION: f64 = 0.7;
+/// Fraction of its share that new runs use: of the ratio from the first request on, of the slack in
+/// proportion to the elapsed time. The remainder covers boxes that were added or removed since the
+/// last count.
+const NEW_RUN_FRACTION: f64 = 0.2;
 
-/// Bounds of second sends to one service.
+/// Bounds on the retries to one service.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct BudgetBounds {
-    /// Second sends allowed for each request.
+    /// Retries allowed per request.
     pub ratio: f64,
-    /// Second sends allowed beside, for all boxes together.
+    /// Additional retries allowed for all boxes together.
     pub slack: f64,
     /// The sliding window over which both are counted.
     pub window: Duration,
@@ -35,22 +36,22 @@
 #[derive(Debug, Clone, Copy, Default)]
 struct Slice {
     number: u64,
-    firsts: u32,
-    seconds: u32,
+    requests: u32,
+    retries: u32,
 }
 
-/// First and second sends of one box to one service, over a sliding window.
+/// Requests and retries of one box to one service, over a sliding window.
 #[derive(Debug, Clone, Default)]
 pub struct SharedBudget {
     slices: VecDeque<Slice>,
-    /// When the run started, if an earlier one may have taken something before.
+    /// When the run started, if an earlier one may have used part of the budget.
     started: Option<Instant>,
 }
 
 impl SharedBudget {
-    /// The budget of a box that started at `started`. Guards the bound where all boxes start at once: 295 of them made 2,950
-    /// second sends in a window that allowed 2,174 when the next run of each had its whole share of the ratio, and the
-    /// fixed part grew over a window.
+    /// Creates the budget of a box that started at `started`. It keeps the bound even if all boxes
+    /// restart at once: with a full share of the ratio for each new run and a slack that grew over
+    /// a window, 295 boxes made 2,950 retries in a window that allowed 2,174.
     pub fn of_box(started: Instant) -> Self {
         SharedBudget {
             started: Some(started),
@@ -58,8 +59,8 @@
         }
     }
 
-    /// The part of a window that the run has lived at `now`, 1 from a whole one on.
-    fn lived(&self, now: Instant, bounds: &BudgetBounds) -> f64 {
+    /// Returns the part of a window that has elapsed since the run started, at most 1.
+    fn elapsed_fraction(&self, now: Instant, bounds: &BudgetBounds) -> f64 {
         let Some(started) = self.started else {
             return 1.0;
         };
@@ -67,35 +68,36 @@
         (now.since(started).as_secs_f64() / window).min(1.0)
     }
 
-    /// Count a request.
+    /// Counts a request.
     pub fn first(&mut self, now: Instant, bounds: &BudgetBounds) {
-        self.slice(now, bounds).firsts += 1;
+        self.slice(now, bounds).requests += 1;
     }
 
-    /// Take a second send, if the share of one of `boxes` boxes allows it.
+    /// Takes a retry if the share of one of `boxes` boxes allows it.
     pub fn take(&mut self, now: Instant, bounds: &BudgetBounds, boxes: u32) -> bool {
         if self.left(now, bounds, boxes) < 1.0 {
             return false;
         }
-        self.slice(now, bounds).seconds += 1;
+        self.slice(now, bounds).retries += 1;
         true
     }
 
-    /// Second sends left in the current window.
+    /// Returns the retries left in the current window.
     pub fn left(&mut self, now: Instant, bounds: &BudgetBounds, boxes: u32) -> f64 {
         self.slice(now, bounds);
-        let firsts: u32 = self.slices.iter().map(|slice| slice.firsts).sum();
-        let seconds: u32 = self.slices.iter().map(|slice| slice.seconds).sum();
+        let requests: u32 = self.slices.iter().map(|slice| slice.requests).sum();
+        let retries: u32 = self.slices.iter().map(|slice| slice.retries).sum();
         let share = bounds.slack / f64::from(boxes.max(1));
-        let lived = self.lived(now, bounds);
-        let part = match lived < 1.0 {
-            true => YOUNG_PART,
-            false => SETTLED_PART,
+        let elapsed_fraction = self.elapsed_fraction(now, bounds);
+        let fraction = match elapsed_fraction < 1.0 {
+            true => NEW_RUN_FRACTION,
+            false => SETTLED_FRACTION,
         };
-        part * (bounds.ratio * f64::from(firsts) + lived * share) - f64::from(seconds)
+        fraction * (bounds.ratio * f64::from(requests) + elapsed_fraction * share)
+            - f64::from(retries)
     }
 
-    /// The slice of `now`; slices that left the window are dropped.
+    /// Returns the slice of `now` and drops slices that left the window.
     fn slice(&mut self, now: Instant, bounds: &BudgetBounds) -> &mut Slice {
         let width = (bounds.window / SLICES).as_micros().max(1);
         let number = (now.elapsed().as_micros() / width) as u64;
--- a/reachtally-core/src/forward/changes.rs
+++ b/reachtally-core/src/forward/changes.rs
@@ -1,13 +1,14 @@
-//! The changes of targets that a box can tell others of.
+//! Log of target changes for other boxes.
 
 use std::collections::VecDeque;
 use std::sync::Arc;
 
-/// Changes kept; a box that is further behind gets the whole list. Each takes a pointer. A first plan changes all
-/// entries within seconds: with 512 kept, boxes before 500 engines and more were told all of them again and again.
-const KEPT: usize = 16_384;
+/// Number of changes kept; a box that is further behind gets the whole list. Each takes a pointer.
+/// The first placement changes all entries within seconds: with 512, boxes in front of 500 engines
+/// or more received the whole list again and again.
+const MAX_CHANGES: usize = 16_384;
 
-/// How far a box has followed another's changes.
+/// The position up to which a box has received the changes of another.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct Cursor {
     /// The run whose changes are counted.
@@ -16,16 +17,16 @@
     pub next: u64,
 }
 
-/// What a box must be told.
+/// The update that a box needs.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Since {
-    /// Everything.
+    /// The whole list.
     Whole,
-    /// Targets whose entries changed or went.
+    /// Targets whose entries changed or were removed.
     Changed(Vec<Arc<str>>),
 }
 
-/// The latest changes, by the ids of the targets.
+/// The latest changes, as ids of targets.
 #[derive(Debug, Default)]
 pub struct Changes {
     first: u64,
@@ -33,10 +34,10 @@
 }
 
 impl Changes {
-    /// Note that a target's entry changed or went.
+    /// Records that the entry of a target changed or was removed.
     pub fn note(&mut self, id: Arc<str>) {
         self.ids.push_back(id);
-        if self.ids.len() > KEPT {
+        if self.ids.len() > MAX_CHANGES {
             self.ids.pop_front();
             self.first += 1;
         }
@@ -47,14 +48,14 @@
         self.first + self.ids.len() as u64
     }
 
-    /// The change from which a box at `cursor` is to be told, for changes of the run `run`; `None` if it must be
-    /// told everything.
+    /// Returns the first change that a box at `cursor` needs from the run `run`; `None` if it needs
+    /// the whole list.
     pub fn start(&self, cursor: Cursor, run: u64) -> Option<u64> {
         let is_kept = (self.first..=self.next()).contains(&cursor.next);
         (cursor.run == run && is_kept).then_some(cursor.next)
     }
 
-    /// What changed since `cursor`, for changes of the run `run`.
+    /// Returns what changed after `cursor` in the run `run`.
     pub fn since(&self, cursor: Cursor, run: u64) -> Since {
         let Some(start) = self.start(cursor, run) else {
             return Since::Whole;
--- a/reachtally-core/src/forward/count.rs
+++ b/reachtally-core/src/forward/count.rs
@@ -1,76 +1,84 @@
-//! How many boxes there are, by failure domain, as far as a box is told.
+//! Number of boxes per failure domain, as reported to this box.
 //!
-//! Too small a number is the dangerous side: every box takes a share of what all share. So a domain that is not
-//! heard of any more keeps its boxes for a while, a number that falls is believed only once it has held, and a domain
-//! that is there but was not heard of counts like the largest.
+//! An underestimate is dangerous, because every box takes its share of common budgets. So the boxes
+//! of a failure domain that is no longer reported count for some time, a decrease takes effect only
+//! after a delay, and a failure domain that exists but was not reported counts like the largest
+//! one.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
 
 use crate::time::Instant;
 
-/// How long a failure domain counts that is not heard of: one that is cut off goes on making use of its share.
-const DOMAIN_LIFE: Duration = Duration::from_secs(30);
-/// How long a domain's smaller number must be told before it is believed: twice the life of a report. A collector
-/// that was just chosen lacks reporters for about half of that life.
-const FALL_SETTLED: Duration = Duration::from_secs(3);
+/// How long a failure domain counts after its last report: if it is cut off, its boxes keep using
+/// their share.
+const DOMAIN_TTL: Duration = Duration::from_secs(30);
+/// How long a decrease must be reported before it takes effect: twice the lifetime of a report. A
+/// newly selected collector lacks reporters for about half that lifetime.
+const DECREASE_DELAY: Duration = Duration::from_secs(3);
 
-/// Boxes of a failure domain.
+/// The number of boxes in a failure domain.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct DomainCount {
     /// The failure domain.
     pub domain: String,
-    /// Its boxes.
+    /// Number of its boxes.
     pub boxes: u32,
 }
 
-/// What is held of one domain.
+/// The known state of a failure domain.
 #[derive(Debug, Clone, Copy)]
-struct Held {
+struct DomainState {
     boxes: u32,
-    /// When so many were last told of.
-    reached: Instant,
-    /// When the domain was last told of.
-    heard: Instant,
+    /// When this number of boxes was last reported.
+    confirmed_at: Instant,
+    /// When the failure domain was last reported.
+    reported_at: Instant,
 }
 
-/// The numbers of boxes that a box believes.
+/// Box counts per failure domain that are in effect at this box.
 #[derive(Debug, Default)]
-pub struct BoxCount(BTreeMap<String, Held>);
+pub struct BoxCount(BTreeMap<String, DomainState>);
 
 impl BoxCount {
-    /// Take in what was told of a domain.
-    pub fn hear(&mut self, told: &DomainCount, now: Instant) {
-        let new = Held {
-            boxes: told.boxes,
-            reached: now,
-            heard: now,
+    /// Receives the count of a failure domain.
+    pub fn hear(&mut self, reported: &DomainCount, now: Instant) {
+        let new = DomainState {
+            boxes: reported.boxes,
+            confirmed_at: now,
+            reported_at: now,
         };
-        match self.0.get_mut(&told.domain) {
-            Some(held) if told.boxes < held.boxes && now.since(held.reached) < FALL_SETTLED => {
-                held.heard = now;
+        match self.0.get_mut(&reported.domain) {
+            Some(known)
+                if reported.boxes < known.boxes
+                    && now.since(known.confirmed_at) < DECREASE_DELAY =>
+            {
+                known.reported_at = now;
             }
-            Some(held) => *held = new,
+            Some(known) => *known = new,
             None => {
-                self.0.insert(told.domain.clone(), new);
+                self.0.insert(reported.domain.clone(), new);
             }
         }
     }
 
-    /// Forget domains that were not told of for long.
+    /// Removes failure domains without recent reports.
     pub fn remove_expired(&mut self, now: Instant) {
-        self.0.retain(|_, held| now.since(held.heard) < DOMAIN_LIFE);
+        self.0
+            .retain(|_, known| now.since(known.reported_at) < DOMAIN_TTL);
     }
 
-    /// Boxes in all `domains` failure domains that there are, 0 if that is not known; `None` before the first count.
+    /// Returns the number of boxes in all `domains` failure domains (0 if unknown); `None` before
+    /// the first count.
     ///
-    /// Guards the shared budget where boxes start again in a domain that is cut off, or one is cut off for longer than
-    /// it counts: they would take the share of all others.
+    /// Counting unreported failure domains protects the shared budget if boxes restart in a failure
+    /// domain that is cut off, or if one is cut off for longer than `DOMAIN_TTL`; the boxes there
+    /// would otherwise take everyone's share.
     pub fn boxes(&self, domains: usize) -> Option<u32> {
-        let counts = || self.0.values().map(|held| held.boxes);
+        let counts = || self.0.values().map(|known| known.boxes);
         let largest = counts().max()?;
-        let unheard = domains.saturating_sub(self.0.len()) as u32;
-        let heard = counts().fold(0, u32::saturating_add);
-        Some(heard.saturating_add(unheard.saturating_mul(largest)))
+        let unreported = domains.saturating_sub(self.0.len()) as u32;
+        let reported = counts().fold(0, u32::saturating_add);
+        Some(reported.saturating_add(unreported.saturating_mul(largest)))
     }
 }
--- a/reachtally-core/src/forward/peers.rs
+++ b/reachtally-core/src/forward/peers.rs
@@ -1,4 +1,4 @@
-//! The other boxes.
+//! Boxes in the group.
 
 use std::collections::BTreeSet;
 use std::net::IpAddr;
@@ -14,11 +14,11 @@
     pub ip: IpAddr,
     /// Its run.
     pub run: Incarnation,
-    /// Bandwidth of its link, in Mbit/s; 0 if it is not known.
+    /// Bandwidth of its link in Mbit/s; 0 if unknown.
     pub link_mbps: u32,
 }
 
-/// The failure domains of which some box is in the group.
+/// Returns the failure domains that have a box in the group.
 pub fn domains(members: &[Member]) -> BTreeSet<&str> {
     members.iter().map(|member| &*member.domain).collect()
 }
--- a/reachtally-core/src/forward/rate.rs
+++ b/reachtally-core/src/forward/rate.rs
@@ -1,10 +1,11 @@
-//! Mean rates with exponential decay.
+//! Exponentially decaying mean rates.
 
 use std::time::Duration;
 
 use crate::time::Instant;
 
-/// What is left at `now` of a count made at `before`, which decays with the time constant `time`.
+/// Returns the remaining weight at `now` of an event at `before`, for the decay time constant
+/// `time`.
 pub(crate) fn left(before: Instant, now: Instant, time: Duration) -> f64 {
     (-now.since(before).as_secs_f64() / time.as_secs_f64()).exp()
 }
@@ -25,7 +26,7 @@
         self.at = self.at.max(now);
     }
 
-    /// Events a second.
+    /// Returns the events per second.
     pub fn at(&self, now: Instant) -> f64 {
         self.per_second * left(self.at, now, Self::TIME)
     }
--- a/reachtally-core/src/forward/readers.rs
+++ b/reachtally-core/src/forward/readers.rs
@@ -1,4 +1,4 @@
-//! Which box reads the store for others, and which is asked.
+//! Selection of the boxes that read the store on behalf of others, and of the one that a box asks.
 
 use std::cmp::Reverse;
 use std::net::IpAddr;
@@ -6,27 +6,27 @@
 use crate::forward::peers::{Member, domains};
 use crate::ids::Incarnation;
 
-/// Boxes of a failure domain that stand by as readers: those with the widest links, since a reader sends
-/// each new configuration to all others; the least addresses among equals. With three, a box whose
-/// readers are all cut off knows it after 1.7 s; the loss of all three together is rare.
+/// Readers per failure domain: the boxes with the fastest links, since a reader sends each new
+/// configuration to all others, and the lowest addresses among equals. With three, a box detects
+/// after 1.7 s that all its readers are cut off; losing all three at once is rare.
 const READERS: usize = 3;
 
-/// Most boxes of a failure domain in the group: beyond the readers, some that stood in for one that came back.
-/// The others cost the store nothing.
-const MOST_MEMBERS: usize = READERS + 2;
+/// Maximum number of boxes of a failure domain in the group: the readers and some boxes that
+/// replaced one which has returned. Boxes outside the group cause no load on the store.
+const MAX_MEMBERS: usize = READERS + 2;
 
-/// Where the configuration and the targets come from.
+/// Where this box gets the configuration and the targets from.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Origin {
     /// The store.
     Store,
     /// Another box.
     Box(IpAddr),
-    /// Nowhere at present; those that failed are asked again in a moment.
+    /// No source at present; those that failed are asked again after a short time.
     Nowhere,
 }
 
-/// This box's view of the group.
+/// The group as seen by this box.
 #[derive(Debug, Clone, Copy)]
 pub struct View<'a> {
     /// The boxes of the group; this one may be missing.
@@ -35,23 +35,23 @@
     pub home: &'a str,
     /// The run of this box.
     pub run: Incarnation,
-    /// Its address.
+    /// The address of this box.
     pub ip: IpAddr,
     /// Boxes that may be asked before the group is known.
     pub seeds: &'a [IpAddr],
-    /// Boxes that lately did not answer.
+    /// Boxes that recently did not answer.
     pub avoid: &'a [IpAddr],
-    /// Boxes that lately answered, but knew nothing new enough.
+    /// Boxes that recently answered with outdated data.
     pub stale: &'a [IpAddr],
     /// Whether this box has just started, so that others may have too.
     pub is_young: bool,
-    /// Whether what this box reads from the store itself is new enough.
+    /// Whether the data that this box itself reads from the store is recent enough.
     pub is_sound: bool,
 }
 
 impl<'a> View<'a> {
-    /// The members of a failure domain, in the order in which they are asked. Of a box that restarted, the group
-    /// lists both runs for a while; it counts once.
+    /// Returns the members of a failure domain in the order in which they are asked. After a
+    /// restart the group lists both runs of a box for a while; the box counts once.
     fn members_of(&self, domain: &str) -> Vec<&'a Member> {
         let mut found: Vec<&Member> = self
             .members
@@ -63,7 +63,7 @@
         found
     }
 
-    /// The readers of a failure domain, in the order in which they are asked.
+    /// Returns the readers of a failure domain in the order in which they are asked.
     fn readers(&self, domain: &str) -> Vec<&'a Member> {
         let mut found = self.members_of(domain);
         found.truncate(READERS);
@@ -73,78 +73,80 @@
     /// Whether this box is a reader of its failure domain.
     fn is_reader(&self) -> bool {
         let readers = self.readers(self.home);
-        readers.iter().any(|member| self.is_here(member))
+        readers.iter().any(|member| self.is_self(member))
     }
 
-    /// Whether the group lists this box, or an earlier run of it whose place it should take.
+    /// Whether the group lists this box, or an earlier run whose place it should take.
     pub fn is_listed(&self) -> bool {
-        self.members.iter().any(|member| self.is_here(member))
+        self.members.iter().any(|member| self.is_self(member))
     }
 
-    /// Whether a box of the group should leave it, since enough others of its failure domain are there.
+    /// Whether this box should leave the group because it has enough other members of its failure
+    /// domain.
     pub fn is_superfluous(&self) -> bool {
         let home = self.members_of(self.home);
-        let rank = home.iter().position(|member| self.is_here(member));
-        rank.is_some_and(|rank| rank >= MOST_MEMBERS)
+        let rank = home.iter().position(|member| self.is_self(member));
+        rank.is_some_and(|rank| rank >= MAX_MEMBERS)
     }
 
-    /// Readers that this box's failure domain lacks.
+    /// Number of readers that the failure domain of this box lacks.
     pub fn missing_readers(&self) -> usize {
         READERS.saturating_sub(self.members_of(self.home).len())
     }
 
-    /// With which chance, from 0 to 1, each box outside of the group should join it now where `boxes` boxes are
-    /// in all: so that about as many as are missing do.
+    /// Returns the probability from 0 to 1 with which each box outside the group should join it
+    /// now, out of `boxes` boxes in total, so that about as many join as are missing.
     pub fn chance_to_join(&self, boxes: u32) -> f64 {
         let shared = domains(self.members).len().max(1) as f64;
-        let at_home = f64::from(boxes.max(1)) / shared;
-        self.missing_readers() as f64 / at_home
+        let local_boxes = f64::from(boxes.max(1)) / shared;
+        self.missing_readers() as f64 / local_boxes
     }
 
-    /// Whether a member is this box, or an earlier run of it that the group has not missed yet.
-    fn is_here(&self, member: &Member) -> bool {
+    /// Whether a member is this box, or an earlier run of it that the group has not removed yet.
+    fn is_self(&self, member: &Member) -> bool {
         member.run == self.run || member.ip == self.ip
     }
 
     fn is_usable(&self, member: &Member) -> bool {
         let ip = member.ip;
-        !self.is_here(member) && !self.avoid.contains(&ip) && !self.stale.contains(&ip)
+        !self.is_self(member) && !self.avoid.contains(&ip) && !self.stale.contains(&ip)
     }
 
     /// Whether this box is the first reader of its failure domain.
     pub fn is_first(&self) -> bool {
         let readers = self.readers(self.home);
-        readers.first().is_none_or(|first| self.is_here(first))
+        readers.first().is_none_or(|first| self.is_self(first))
     }
 
-    /// Where to look next: at a reader that stands before this box; else, for a reader, in the store, as long as
-    /// that works; else at any other reader, the ones of other failure domains after those at home.
+    /// Selects the next source: a reader that precedes this box; else, for a reader, the store as
+    /// long as that works; else any other reader, those of this failure domain before those of
+    /// others.
     ///
-    /// Other boxes read the store only where nobody else answers at all. While the store is
-    /// away, readers answer without knowing anything new, and the others wait for them: guards the store from a call of
-    /// each box when it comes back.
+    /// Other boxes read the store only if no other box answers at all. While the store is
+    /// unavailable, readers answer with no new data and the other boxes wait for them. This
+    /// protects the store from a call by every box when it returns.
     pub fn origin(&self) -> Origin {
         let home = self.readers(self.home);
-        let before = home.iter().take_while(|member| !self.is_here(member));
+        let before = home.iter().take_while(|member| !self.is_self(member));
         if let Some(reader) = before.copied().find(|member| self.is_usable(member)) {
             return Origin::Box(reader.ip);
         }
         if self.is_sound && self.is_reader() {
             return Origin::Store;
         }
-        // A reader that is not told in time is to read itself: where it asked all readers abroad first, a change would be in
-        // force too late.
+        // A reader that is not updated in time reads the store itself. Asking all readers of other
+        // failure domains first would delay a configuration change for too long.
         let ranks = if self.is_reader() { 1 } else { READERS };
-        let abroad = self.abroad(ranks);
-        let mut others = home.into_iter().chain(abroad);
+        let remote = self.remote_readers(ranks);
+        let mut others = home.into_iter().chain(remote);
         match others.find(|member| self.is_usable(member)) {
             Some(reader) => Origin::Box(reader.ip),
-            None => self.last_resort(),
+            None => self.fallback_origin(),
         }
     }
 
-    /// Where to look while no reader is of use.
-    fn last_resort(&self) -> Origin {
+    /// Selects the source if no reader is usable.
+    fn fallback_origin(&self) -> Origin {
         if self.is_reader() {
             return Origin::Store;
         }
@@ -163,33 +165,33 @@
         }
     }
 
-    /// The box to which this one reports what it has on the targets: the first reader of its failure domain
-    /// that is not avoided; `None` if that is this box or there is none.
+    /// Returns the box to which this one reports its loads: the first reader of its failure domain
+    /// that is not in `avoid`; `None` if that is this box or there is none.
     pub fn collector(&self) -> Option<IpAddr> {
         let home = self.readers(self.home);
         let first = home
             .into_iter()
             .find(|member| !self.avoid.contains(&member.ip))?;
-        (!self.is_here(first)).then_some(first.ip)
+        (!self.is_self(first)).then_some(first.ip)
     }
 
-    /// The first reader of each failure domain but this box.
+    /// Returns the first reader of each failure domain, except this box.
     pub fn first_readers(&self) -> Vec<(&'a str, IpAddr)> {
         let first = |domain| Some((domain, *self.readers(domain).first()?));
         domains(self.members)
             .into_iter()
             .filter_map(first)
-            .filter(|(_, reader)| !self.is_here(reader))
+            .filter(|(_, reader)| !self.is_self(reader))
             .map(|(domain, reader)| (domain, reader.ip))
             .collect()
     }
 
-    /// The first `ranks` readers of other failure domains, the first of each before the second ones.
-    fn abroad(&self, ranks: usize) -> Vec<&'a Member> {
-        let abroad = domains(self.members)
+    /// Returns the first `ranks` readers of each other failure domain, ordered by rank.
+    fn remote_readers(&self, ranks: usize) -> Vec<&'a Member> {
+        let remote = domains(self.members)
             .into_iter()
             .filter(|domain| *domain != self.home);
-        let readers: Vec<Vec<&Member>> = abroad.map(|domain| self.readers(domain)).collect();
+        let readers: Vec<Vec<&Member>> = remote.map(|domain| self.readers(domain)).collect();
         (0..ranks)
             .flat_map(|rank| {
                 readers
--- a/reachtally-core/src/forward/routes.rs
+++ b/reachtally-core/src/forward/routes.rs
@@ -1,4 +1,4 @@
-//! The routing table: hosts and path prefixes to services, keys to client accounts.
+//! The routing table, which maps hosts and path prefixes to services and keys to client accounts.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::sync::Arc;
@@ -6,7 +6,7 @@
 
 use crate::forward::cost::LayerModel;
 
-/// How often a request of a route may run.
+/// How often a request of a route may be executed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Repeat {
     /// Any number of times.
@@ -15,45 +15,45 @@
     AtMostOnce,
 }
 
-/// What an answer looks like.
+/// The form of a route's answers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Shape {
-    /// One body.
+    /// A single body.
     Whole,
-    /// A series of events with rising ids.
+    /// A stream of events with increasing ids.
     Events {
-        /// Whether another engine may go on after the last event id.
+        /// Whether another engine may continue after the last event id.
         resumable: bool,
-        /// Longest pause between events that keeps the answer in time.
+        /// Longest pause between events within the objective.
         gap_objective: Option<Duration>,
     },
 }
 
-/// One route.
+/// A route.
 #[derive(Debug, Clone)]
 pub struct Route {
     /// Its name, for logs.
     pub name: Arc<str>,
-    /// How often its requests may run.
+    /// How often its requests may be executed.
     pub repeat: Repeat,
-    /// What its answers look like.
+    /// The form of its answers.
     pub shape: Shape,
-    /// Longest time that a request is held.
+    /// Maximum duration of a request.
     pub timeout: Duration,
-    /// Time in which an answer is worth its full value.
+    /// Time within which an answer has its full value.
     pub objective: Duration,
-    /// Rank, 0 is the most urgent.
+    /// Priority; 0 is the most urgent.
     pub priority: u8,
-    /// Services that share its requests, with their weights.
+    /// Services that its requests are split between, with their weights.
     pub services: Vec<(Arc<str>, u32)>,
-    /// Largest number of engines that one request may go to.
+    /// Maximum number of engines that a request may be sent to.
     pub max_attempts: u32,
-    /// Whether it is served without a key.
+    /// Whether it accepts requests without a key.
     pub public: bool,
 }
 
 impl Route {
-    /// Whether the request may run more than once.
+    /// Whether a request may be executed more than once.
     pub fn is_repeatable(&self) -> bool {
         match self.shape {
             Shape::Events { resumable, .. } => resumable,
@@ -61,7 +61,7 @@
         }
     }
 
-    /// Longest pause between events that keeps an answer in time, where the route names one.
+    /// Longest pause between events within the objective, if the route sets one.
     pub fn gap_objective(&self) -> Option<Duration> {
         match self.shape {
             Shape::Events { gap_objective, .. } => gap_objective,
@@ -74,7 +74,8 @@
         self.services.iter().any(|(name, _)| &**name == service)
     }
 
-    /// The service for a request, by weight; `draw` is any well-spread number of the request.
+    /// Selects the service for a request by weight; `draw` is any uniformly distributed number
+    /// derived from the request.
     pub fn service(&self, draw: u64) -> Option<&Arc<str>> {
         let total: u64 = self
             .services
@@ -96,58 +97,60 @@
     }
 }
 
-/// A service as the configuration declares it.
+/// A service as declared in the configuration.
 #[derive(Debug, Clone)]
 pub struct Service {
-    /// Connections that each of its targets accepts from all boxes together.
+    /// Maximum number of connections to each of its targets from all boxes together.
     pub max_connections: u32,
-    /// The layered model its engines run; absent for plain services.
+    /// The layered model its engines run; `None` for plain services.
     pub model: Option<Arc<LayerModel>>,
 }
 
-/// What callers may send.
+/// Limits on what callers may send.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct CallerLimits {
-    /// Most bytes of a request's head.
+    /// Maximum size of a request's head in bytes.
     pub header_bytes: usize,
-    /// Most bytes of a request's body.
+    /// Maximum size of a request's body in bytes.
     pub body_bytes: usize,
-    /// Longest time a head may take.
+    /// Maximum time for receiving a head.
     pub header_timeout: Duration,
-    /// Longest time a connection may be at rest.
+    /// Maximum time a connection may be idle.
     pub idle_timeout: Duration,
 }
 
-/// A client account's rights.
+/// A client account.
 #[derive(Debug, Clone)]
 pub struct Account {
     /// Its name.
     pub name: Arc<str>,
-    /// Its rank, which goes before the route's.
+    /// Its priority, which takes precedence over the route's.
     pub priority: Option<u8>,
 }
 
-/// Whether requests of routes have keys.
+/// Whether requests of a service's routes require keys.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Keys {
-    /// All of them, where accounts are configured.
-    Needed,
-    /// Some route is served without.
+enum KeyRequirement {
+    /// All routes require a key, if accounts are configured.
+    Required,
+    /// Some route accepts requests without a key.
     Optional,
 }
 
-/// How urgent a request is; the least is the most urgent. The account's priority goes before the route's, which orders requests of
-/// accounts with the same priority, so that a kind of request is not served behind a less urgent one.
+/// The urgency of a request; the smallest is the most urgent. The account's priority comes first.
+/// The route's priority orders requests of accounts with the same priority, so that a request is
+/// not served behind a less urgent kind.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Urgency {
-    /// Priority of its account; that of the route where the account has none.
+    /// Priority of its account, or of its route if the account has none.
     pub account: u8,
     /// Priority of its route.
     pub route: u8,
 }
 
 impl Urgency {
-    /// Urgency of a request on a route with priority `route`, of an account with priority `account` if it has one.
+    /// Returns the urgency of a request on a route with priority `route`, of an account with
+    /// priority `account` if it has one.
     pub fn new(account: Option<u8>, route: u8) -> Self {
         Urgency {
             account: account.unwrap_or(route),
@@ -163,29 +166,29 @@
     pub version: u64,
     /// Routes by host, then by prefix.
     routes: HashMap<Box<str>, HashMap<Box<str>, Arc<Route>>>,
-    /// Accounts by key. `None`: requests carry no keys.
+    /// Accounts by key; `None` if requests carry no keys.
     accounts: Option<HashMap<Box<str>, Account>>,
     /// Services by name.
     pub services: BTreeMap<Arc<str>, Service>,
-    /// What callers may send.
+    /// Limits on what callers may send.
     pub limits: Option<CallerLimits>,
     /// Distinct priorities of the routes of each service.
-    route_priorities: HashMap<Arc<str>, BTreeMap<u8, Keys>>,
+    route_priorities: HashMap<Arc<str>, BTreeMap<u8, KeyRequirement>>,
     /// Distinct priorities of accounts; `None` stands for accounts without one.
     account_priorities: BTreeSet<Option<u8>>,
 }
 
-/// Why no route took a request.
+/// Reason why no route accepted a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Denied {
-    /// No route fits the host and path.
+    /// No route matches the host and path.
     NoRoute,
-    /// The route needs a key, and the request's is missing or unknown.
+    /// The route requires a key, and the one sent is missing or unknown.
     UnknownKey,
 }
 
 impl Table {
-    /// An empty table of this version.
+    /// Creates an empty table of this version.
     pub fn new(version: u64) -> Self {
         Table {
             version,
@@ -193,13 +196,15 @@
         }
     }
 
-    /// Add a route; one with the same host and prefix is replaced.
+    /// Adds a route; replaces one with the same host and prefix.
     pub fn add_route(&mut self, host: &str, prefix: &str, route: Route) {
         for (service, _) in &route.services {
             let priorities = self.route_priorities.entry(service.clone()).or_default();
-            let keys = priorities.entry(route.priority).or_insert(Keys::Needed);
+            let requirement = priorities
+                .entry(route.priority)
+                .or_insert(KeyRequirement::Required);
             if route.public {
-                *keys = Keys::Optional;
+                *requirement = KeyRequirement::Optional;
             }
         }
         let by_prefix = self
@@ -209,24 +214,25 @@
         by_prefix.insert(prefix.into(), Arc::new(route));
     }
 
-    /// Require keys from now on, and add one of `account`.
+    /// Adds a key of `account`; requests require keys from then on.
     pub fn add_key(&mut self, key: &str, account: Account) {
         self.account_priorities.insert(account.priority);
         let accounts = self.accounts.get_or_insert_with(HashMap::new);
         accounts.insert(key.into(), account);
     }
 
-    /// Require keys, even if none is known.
+    /// Requires keys, even if none is known.
     pub fn require_keys(&mut self) {
         self.accounts.get_or_insert_with(HashMap::new);
     }
 
-    /// Returns the distinct urgencies that requests for a service may have, the most urgent first.
+    /// Returns the distinct urgencies that requests for a service may have, most urgent first.
     pub fn urgencies(&self, service: &str) -> Vec<Urgency> {
         let routes = self.route_priorities.get(service);
-        let of_route = |(route, keys): (&u8, &Keys)| {
-            let has_none = self.accounts.is_none() || *keys == Keys::Optional;
-            let without = has_none.then_some(None);
+        let of_route = |(route, requirement): (&u8, &KeyRequirement)| {
+            let may_lack_account =
+                self.accounts.is_none() || *requirement == KeyRequirement::Optional;
+            let without = may_lack_account.then_some(None);
             let accounts = self.account_priorities.iter().copied();
             let each = accounts.chain(without);
             each.map(|account| Urgency::new(account, *route))
@@ -237,15 +243,15 @@
         distinct.into_iter().collect()
     }
 
-    /// Returns the position of an urgency among those of a service, 0 for the most urgent.
+    /// Returns the position of an urgency among those of a service; 0 is the most urgent.
     pub fn rank(&self, service: &str, urgency: Urgency) -> u8 {
         let urgencies = self.urgencies(service);
         let before = urgencies.partition_point(|other| *other < urgency);
         u8::try_from(before).unwrap_or(u8::MAX)
     }
 
-    /// Returns the priority that targets of a service get for a request: that of its account where the service's routes share one
-    /// priority, else its rank.
+    /// Returns the priority that is passed to targets of a service for a request: that of its
+    /// account if all routes of the service share one priority, else its rank.
     pub fn priority(&self, service: &str, urgency: Urgency) -> u8 {
         let routes = self.route_priorities.get(service);
         match routes.is_some_and(|routes| routes.len() > 1) {
@@ -259,7 +265,7 @@
         self.routes.values().map(HashMap::len).sum()
     }
 
-    /// The route of the longest prefix that begins `path`, for a `Host` header's value.
+    /// Returns the route with the longest prefix of `path`, for the value of a `Host` header.
     pub fn find(&self, host: &str, path: &str) -> Option<&Arc<Route>> {
         let name = host.rsplit_once(':').map_or(host, |(name, _)| name);
         let by_prefix = match self.routes.get(name) {
@@ -270,7 +276,8 @@
         ends.filter_map(|end| by_prefix.get(&path[..end])).next()
     }
 
-    /// The shortest objective of the routes that lead to a service; `None` if none does.
+    /// Returns the shortest objective of the routes that lead to a service; `None` if there is
+    /// none.
     pub fn shortest_objective(&self, service: &str) -> Option<Duration> {
         let routes = self.routes.values().flat_map(HashMap::values);
         let of_service = routes.filter(|route| route.serves(service));
@@ -282,16 +289,17 @@
         self.accounts.is_some()
     }
 
-    /// Names of the accounts; an account with several keys comes several times.
+    /// Names of the accounts; an account with several keys is repeated.
     pub fn account_names(&self) -> impl Iterator<Item = &Arc<str>> {
         let accounts = self.accounts.iter().flat_map(HashMap::values);
         accounts.map(|account| &account.name)
     }
 
-    /// The account of a request on `route` with this key; `None` if it needs none and has none.
+    /// Returns the account of a request on `route` with this key; `None` if it needs no account and
+    /// has none.
     ///
     /// # Errors
-    /// [`Denied::UnknownKey`].
+    /// [`Denied::UnknownKey`] if the route requires a key and this one is missing or unknown.
     pub fn account(&self, route: &Route, key: Option<&str>) -> Result<Option<Account>, Denied> {
         let Some(accounts) = &self.accounts else {
             return Ok(None);
--- a/reachtally-core/src/forward/stewardship.rs
+++ b/reachtally-core/src/forward/stewardship.rs
@@ -1,55 +1,57 @@
-//! Which box may order engines, and the fencing token that its orders carry.
+//! The right to give orders to engines, and the fencing token that orders carry.
 //!
-//! A box that was replaced may not know it yet: it was paused, or cut off from the store. Engines that
-//! check tokens refuse what carries a lower one than they have seen, so its orders change nothing.
+//! A box that was replaced as steward may not know it yet, because it was suspended or cut off from
+//! the store. Engines that check tokens reject a lower one than they have seen, so its orders have
+//! no effect.
 
 use crate::forward::era::Generation;
 use crate::time::Instant;
 
-/// Rises with each change of the group that deals the steward's part and with each return of the store from a copy, so that
-/// a later steward's token is higher than any of an earlier one.
+/// Increases with each change of the group that assigns the steward role and with each rollback of
+/// the store, so that the token of a later steward is higher than those of earlier ones.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Token(pub Generation);
 
-/// The right to give an order, with the token that it must carry. Only a [`Stewardship`] that holds the
-/// part hands one out.
+/// The right to give an order, with the token that it must carry. Only a [`Stewardship`] that holds
+/// the role issues one.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Permit(Token);
 
 impl Permit {
-    /// The token.
+    /// Returns the token.
     pub fn token(&self) -> Token {
         self.0
     }
 }
 
-/// Whether this box holds the steward's part.
+/// Whether this box holds the steward role.
 #[derive(Debug, Default)]
 pub struct Stewardship {
     held: Option<(Token, Instant)>,
-    /// The highest token of this box that an engine refused.
+    /// The highest token of this box that an engine rejected.
     refused: Option<Token>,
 }
 
 impl Stewardship {
-    /// The part is this box's under `token` until `until`.
+    /// Assigns the role to this box under `token` until `until`.
     pub fn grant(&mut self, token: Token, until: Instant) {
         self.held = Some((token, until));
     }
 
-    /// The part is another's, or this box leaves.
+    /// Removes the role from this box, because another has it or this one leaves.
     pub fn revoke(&mut self) {
         self.held = None;
     }
 
-    /// An engine has seen a higher token than that of `permit`. Yields whether that is news.
+    /// Records that an engine has seen a higher token than that of `permit`. Returns whether the
+    /// rejected token is the highest so far.
     pub fn superseded(&mut self, permit: Permit) -> bool {
-        let is_news = self.refused < Some(permit.0);
+        let is_newer = self.refused < Some(permit.0);
         self.refused = self.refused.max(Some(permit.0));
-        is_news
+        is_newer
     }
 
-    /// The right to give an order now. A token that was refused gives none: only a newer one does.
+    /// Returns the right to give an order now. A rejected token gives none; only a newer one does.
     pub fn permit(&self, now: Instant) -> Option<Permit> {
         let (token, until) = self.held?;
         let is_current = now < until && self.refused < Some(token);
--- a/reachtally-core/src/forward/tally.rs
+++ b/reachtally-core/src/forward/tally.rs
@@ -1,4 +1,4 @@
-//! What is counted of forwarded requests.
+//! Counters of forwarded requests.
 
 use crate::counters::counters;
 
