--- a/reachtally-core/src/forward/fleet.rs
+++ b/reachtally-core/src/forward/fleet.rs
@@ -247,7 +247,7 @@
     pub fn find_run(&self, run: &TargetRun) -> Option<EngineKey> {
         let key = self.find(&run.id)?;
         let held = RunMark::from(self.engines.get(key)?.entry.born);
-        run.mark.is_same(held).then_some(key)
+        run.mark.matches(held).then_some(key)
     }
 
     /// Iterates over all targets.
--- a/reachtally-core/src/forward/fleet/engine.rs
+++ b/reachtally-core/src/forward/fleet/engine.rs
@@ -49,7 +49,7 @@
     /// When the target last reported its running requests.
     pub others_told_at: Instant,
     /// The slowdown factor that the target last reported to this box, and when.
-    pace: Option<(f64, Instant)>,
+    slowdown: Option<(f64, Instant)>,
     /// The largest slowdown factor that other boxes report.
     pub remote_pace: Option<f64>,
     /// Number of other boxes to which it accepts no connections.
@@ -80,7 +80,7 @@
             others_told: 0.0,
             queues: Queues::default(),
             others_told_at: now,
-            pace: None,
+            slowdown: None,
             remote_pace: None,
             remote_silent: 0,
             health: Health::default(),
@@ -148,16 +148,16 @@
     }
 
     /// Records a reported slowdown factor; `NaN` is ignored.
-    pub fn told_pace(&mut self, pace: f64, now: Instant) {
-        if !pace.is_nan() {
-            self.pace = Some((pace.clamp(1.0, MAX_SLOWDOWN), now));
+    pub fn told_pace(&mut self, slowdown: f64, now: Instant) {
+        if !slowdown.is_nan() {
+            self.slowdown = Some((slowdown.clamp(1.0, MAX_SLOWDOWN), now));
         }
     }
 
     /// Returns the slowdown factor that the engine reported to this box, unless it has expired.
     pub fn own_pace(&self, now: Instant) -> Option<f64> {
-        let (pace, at) = self.pace?;
-        (now.since(at) < SLOWDOWN_TTL).then_some(pace)
+        let (slowdown, at) = self.slowdown?;
+        (now.since(at) < SLOWDOWN_TTL).then_some(slowdown)
     }
 
     /// Returns the known slowdown factor, else 1.
--- a/reachtally-core/src/forward/fleet/entry.rs
+++ b/reachtally-core/src/forward/fleet/entry.rs
@@ -19,7 +19,7 @@
 
 impl RunMark {
     /// Whether two marks of one id denote the same run; an unknown mark matches any.
-    pub fn is_same(self, other: RunMark) -> bool {
+    pub fn matches(self, other: RunMark) -> bool {
         let unknown = RunMark::default();
         self == other || self == unknown || other == unknown
     }
--- a/reachtally-core/src/forward/fleet/notice.rs
+++ b/reachtally-core/src/forward/fleet/notice.rs
@@ -131,13 +131,13 @@
     /// Whether a run had a row that was removed.
     pub fn has(&self, run: &TargetRun) -> bool {
         let retained = self.0.get(&run.id);
-        retained.is_some_and(|retained| retained.had_row && run.mark.is_same(retained.mark))
+        retained.is_some_and(|retained| retained.had_row && run.mark.matches(retained.mark))
     }
 
     /// Returns the notice of a run that has no row.
     pub fn get(&self, run: &TargetRun) -> Option<Notice> {
         let retained = self.0.get(&run.id)?;
-        run.mark.is_same(retained.mark).then_some(retained.notice)
+        run.mark.matches(retained.mark).then_some(retained.notice)
     }
 
     /// Updates the notice of a run that has no row.
@@ -152,7 +152,7 @@
     /// of another run.
     pub fn take(&mut self, run: &TargetRun) -> Notice {
         let retained = self.0.remove(&run.id);
-        let own = retained.filter(|retained| run.mark.is_same(retained.mark));
+        let own = retained.filter(|retained| run.mark.matches(retained.mark));
         own.map_or_else(Notice::default, |retained| retained.notice)
     }
 
