--- a/reachtally-core/src/forward/fleet.rs
+++ b/reachtally-core/src/forward/fleet.rs
@@ -193,13 +193,13 @@
             .collect()
     }
 
-    /// Returns at most `most` dead targets that are due for a probe, longest overdue first.
-    pub fn due_for_probe(&self, now: Instant, most: usize) -> Vec<EngineKey> {
+    /// Returns at most `max` dead targets that are due for a probe, longest overdue first.
+    pub fn due_for_probe(&self, now: Instant, max: usize) -> Vec<EngineKey> {
         let probe_at = |key: &EngineKey| self.engines[*key].health.probe_at();
         let mut due = self.dead();
         due.retain(|key| probe_at(key) <= now);
         due.sort_by_key(|key| (probe_at(key), *key));
-        due.truncate(most);
+        due.truncate(max);
         due
     }
 
--- a/reachtally-core/src/forward/limit/allocator.rs
+++ b/reachtally-core/src/forward/limit/allocator.rs
@@ -217,8 +217,8 @@
             return;
         };
         let was_ready = bucket.tokens >= 1.0;
-        let most = 1.0 + rate * BURST_TIME.as_secs_f64();
-        bucket.tokens = (bucket.tokens + rate * passed.as_secs_f64()).min(most);
+        let capacity = 1.0 + rate * BURST_TIME.as_secs_f64();
+        bucket.tokens = (bucket.tokens + rate * passed.as_secs_f64()).min(capacity);
         if bucket.tokens >= 1.0 && !was_ready {
             let ready = self.ready.entry(bucket.service.clone()).or_default();
             ready.push_back(target.clone());
@@ -231,11 +231,11 @@
         let Some(requester) = self.requesters.get(&run) else {
             return Vec::new();
         };
-        let mut wanted: VecDeque<(Arc<str>, u32)> = requester.allowances().into_iter().collect();
+        let mut unserved: VecDeque<(Arc<str>, u32)> = requester.allowances().into_iter().collect();
         let mut issued: BTreeMap<TargetRun, u32> = BTreeMap::new();
-        let mut left = MAX_GRANTED;
-        while left > 0
-            && let Some((service, allowance)) = wanted.pop_front()
+        let mut remaining = MAX_GRANTED;
+        while remaining > 0
+            && let Some((service, allowance)) = unserved.pop_front()
         {
             if allowance == 0 {
                 continue;
@@ -243,9 +243,9 @@
             let Some(target) = self.take_token(&service) else {
                 continue;
             };
-            left -= 1;
+            remaining -= 1;
             *issued.entry(target).or_default() += 1;
-            wanted.push_back((service, allowance - 1));
+            unserved.push_back((service, allowance - 1));
         }
         let each = issued.into_iter();
         each.map(|(target, count)| Grant { target, count })
--- a/reachtally-core/src/forward/limit/spread.rs
+++ b/reachtally-core/src/forward/limit/spread.rs
@@ -19,30 +19,30 @@
     }
 }
 
-/// Returns at most `most` limits that changed recently, newest first.
-pub fn changes(fleet: &Fleet, most: usize, now: Instant) -> Vec<LimitReport> {
+/// Returns at most `max` limits that changed recently, newest first.
+pub fn changes(fleet: &Fleet, max: usize, now: Instant) -> Vec<LimitReport> {
     let stated = fleet.stated_limits();
     let mut changed: Vec<_> = stated
         .filter(|(_, _, changed_at)| now.since(*changed_at) < CHANGE_REPEAT_TIME)
         .collect();
     changed.sort_by_key(|(_, _, changed_at)| std::cmp::Reverse(*changed_at));
-    changed.truncate(most);
+    changed.truncate(max);
     let each = changed.into_iter();
     each.map(|(engine, stated, _)| report(engine, stated, now))
         .collect()
 }
 
-/// Returns page `number`, modulo the number of pages, of all limits, with `most` limits per page.
-pub fn page(fleet: &Fleet, number: u64, most: usize, now: Instant) -> Vec<LimitReport> {
+/// Returns page `number`, modulo the number of pages, of all limits, with `max` limits per page.
+pub fn page(fleet: &Fleet, number: u64, max: usize, now: Instant) -> Vec<LimitReport> {
     let stated = fleet.stated_limits();
     let held: Vec<_> = stated
         .filter(|(_, stated, changed_at)| {
             stated.limit.is_some() || now.since(*changed_at) < END_REPEAT_TIME
         })
         .collect();
-    let pages = held.len().div_ceil(most).max(1);
-    let skipped = (number % pages as u64) as usize * most;
-    let page = held.into_iter().skip(skipped).take(most);
+    let pages = held.len().div_ceil(max).max(1);
+    let skipped = (number % pages as u64) as usize * max;
+    let page = held.into_iter().skip(skipped).take(max);
     page.map(|(engine, stated, _)| report(engine, stated, now))
         .collect()
 }
--- a/reachtally-core/src/forward/quarantine/suspect.rs
+++ b/reachtally-core/src/forward/quarantine/suspect.rs
@@ -101,12 +101,12 @@
     }
 
     pub fn verdict(&self) -> Verdict {
-        let held = self.ends.iter().filter(|end| !end.is_acquitted);
-        let any = held.clone().count();
-        let started = held.filter(|end| end.had_begun).count();
-        if started >= STARTED_CRASH_LIMIT || any >= CRASH_LIMIT {
+        let uncleared = self.ends.iter().filter(|end| !end.is_acquitted);
+        let total = uncleared.clone().count();
+        let started = uncleared.filter(|end| end.had_begun).count();
+        if started >= STARTED_CRASH_LIMIT || total >= CRASH_LIMIT {
             Verdict::Quarantined
-        } else if any > 0 {
+        } else if total > 0 {
             Verdict::Suspected
         } else {
             Verdict::Clear
--- a/reachtally-core/src/forward/readers.rs
+++ b/reachtally-core/src/forward/readers.rs
@@ -9,11 +9,11 @@
 /// Readers per failure domain: the boxes with the fastest links, since a reader sends each new
 /// configuration to all others, and the lowest addresses among equals. With three, a box detects
 /// after 1.7 s that all its readers are cut off; losing all three at once is rare.
-const READERS: usize = 3;
+const READERS_PER_DOMAIN: usize = 3;
 
 /// Maximum number of boxes of a failure domain in the group: the readers and some boxes that
 /// replaced one which has returned. Boxes outside the group cause no load on the store.
-const MAX_MEMBERS: usize = READERS + 2;
+const MAX_MEMBERS: usize = READERS_PER_DOMAIN + 2;
 
 /// Where this box gets the configuration and the targets from.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -53,21 +53,21 @@
     /// Returns the members of a failure domain in the order in which they are asked. After a
     /// restart the group lists both runs of a box for a while; the box counts once.
     fn members_of(&self, domain: &str) -> Vec<&'a Member> {
-        let mut found: Vec<&Member> = self
+        let mut members: Vec<&Member> = self
             .members
             .iter()
             .filter(|member| member.domain == domain)
             .collect();
-        found.sort_by_key(|member| (Reverse(member.link_mbps), member.ip));
-        found.dedup_by_key(|member| member.ip);
-        found
+        members.sort_by_key(|member| (Reverse(member.link_mbps), member.ip));
+        members.dedup_by_key(|member| member.ip);
+        members
     }
 
     /// Returns the readers of a failure domain in the order in which they are asked.
     fn readers(&self, domain: &str) -> Vec<&'a Member> {
-        let mut found = self.members_of(domain);
-        found.truncate(READERS);
-        found
+        let mut members = self.members_of(domain);
+        members.truncate(READERS_PER_DOMAIN);
+        members
     }
 
     /// Whether this box is a reader of its failure domain.
@@ -84,21 +84,21 @@
     /// Whether this box should leave the group because it has enough other members of its failure
     /// domain.
     pub fn is_superfluous(&self) -> bool {
-        let home = self.members_of(self.home);
-        let rank = home.iter().position(|member| self.is_self(member));
+        let members = self.members_of(self.home);
+        let rank = members.iter().position(|member| self.is_self(member));
         rank.is_some_and(|rank| rank >= MAX_MEMBERS)
     }
 
     /// Number of readers that the failure domain of this box lacks.
     pub fn missing_readers(&self) -> usize {
-        READERS.saturating_sub(self.members_of(self.home).len())
+        READERS_PER_DOMAIN.saturating_sub(self.members_of(self.home).len())
     }
 
     /// Returns the probability from 0 to 1 with which each box outside the group should join it
     /// now, out of `boxes` boxes in total, so that about as many join as are missing.
     pub fn chance_to_join(&self, boxes: u32) -> f64 {
-        let shared = domains(self.members).len().max(1) as f64;
-        let local_boxes = f64::from(boxes.max(1)) / shared;
+        let domain_count = domains(self.members).len().max(1) as f64;
+        let local_boxes = f64::from(boxes.max(1)) / domain_count;
         self.missing_readers() as f64 / local_boxes
     }
 
@@ -126,8 +126,8 @@
     /// unavailable, readers answer with no new data and the other boxes wait for them. This
     /// protects the store from a call by every box when it returns.
     pub fn origin(&self) -> Origin {
-        let home = self.readers(self.home);
-        let before = home.iter().take_while(|member| !self.is_self(member));
+        let local = self.readers(self.home);
+        let before = local.iter().take_while(|member| !self.is_self(member));
         if let Some(reader) = before.copied().find(|member| self.is_usable(member)) {
             return Origin::Box(reader.ip);
         }
@@ -136,9 +136,13 @@
         }
         // A reader that is not updated in time reads the store itself. Asking all readers of other
         // failure domains first would delay a configuration change for too long.
-        let ranks = if self.is_reader() { 1 } else { READERS };
+        let ranks = if self.is_reader() {
+            1
+        } else {
+            READERS_PER_DOMAIN
+        };
         let remote = self.remote_readers(ranks);
-        let mut others = home.into_iter().chain(remote);
+        let mut others = local.into_iter().chain(remote);
         match others.find(|member| self.is_usable(member)) {
             Some(reader) => Origin::Box(reader.ip),
             None => self.fallback_origin(),
@@ -168,8 +172,8 @@
     /// Returns the box to which this one reports its loads: the first reader of its failure domain
     /// that is not in `avoid`; `None` if that is this box or there is none.
     pub fn collector(&self) -> Option<IpAddr> {
-        let home = self.readers(self.home);
-        let first = home
+        let readers = self.readers(self.home);
+        let first = readers
             .into_iter()
             .find(|member| !self.avoid.contains(&member.ip))?;
         (!self.is_self(first)).then_some(first.ip)
--- a/reachtally-core/src/forward/routes.rs
+++ b/reachtally-core/src/forward/routes.rs
@@ -85,13 +85,13 @@
         if total == 0 {
             return self.services.first().map(|(name, _)| name);
         }
-        let mut left = draw % total;
+        let mut remaining = draw % total;
         for (name, weight) in &self.services {
             let weight = u64::from(*weight);
-            if left < weight {
+            if remaining < weight {
                 return Some(name);
             }
-            left -= weight;
+            remaining -= weight;
         }
         None
     }
@@ -272,8 +272,10 @@
             Some(found) => found,
             None => self.routes.get(name.to_ascii_lowercase().as_str())?,
         };
-        let ends = path.rmatch_indices('/').map(|(at, _)| at + 1);
-        ends.filter_map(|end| by_prefix.get(&path[..end])).next()
+        let prefix_ends = path.rmatch_indices('/').map(|(at, _)| at + 1);
+        prefix_ends
+            .filter_map(|end| by_prefix.get(&path[..end]))
+            .next()
     }
 
     /// Returns the shortest objective of the routes that lead to a service; `None` if there is
