--- a/reachtally-core/src/forward/fleet/engine.rs
+++ b/reachtally-core/src/forward/fleet/engine.rs
@@ -124,7 +124,7 @@
     }
 
     /// Returns the running requests of other boxes that the target reported within
-    /// [`TARGET_REPORT_TTL`], else 0.
+    /// `TARGET_REPORT_TTL`, else 0.
     pub fn others_told_lately(&self, now: Instant) -> f64 {
         match now.since(self.others_told_at) < TARGET_REPORT_TTL {
             true => self.others_told,
