--- a/reachtally-core/src/chain.rs
+++ b/reachtally-core/src/chain.rs
@@ -72,7 +72,7 @@
 const JITTER: f64 = 0.1;
 /// Engines of one range that are looked at, drawn at random. A few suffice to avoid the bad ones; to
 /// look at all would cost in proportion to the fleet and send every daemon to the same best one.
-const SAMPLE: usize = 4;
+const SAMPLE_SIZE: usize = 4;
 
 /// The engines of a model that hold the same layers.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -104,27 +104,27 @@
 
 type Candidate<'a> = (TargetKey, &'a Target);
 
-/// Up to [`SAMPLE`] engines that `usable` lets pass, at random; from all of the group if the draw has
+/// Up to [`SAMPLE_SIZE`] engines that `usable` lets pass, at random; from all of the group if the draw has
 /// none.
-fn draw<'a>(
+fn sample_candidates<'a>(
     group: &Group,
     targets: &'a SlotMap<TargetKey, Target>,
     usable: impl Fn(TargetKey, &Target) -> bool,
     rng: &mut ChaCha8Rng,
 ) -> Vec<Candidate<'a>> {
-    let look = |key: TargetKey| {
+    let usable_target = |key: TargetKey| {
         let target = targets.get(key)?;
         usable(key, target).then_some((key, target))
     };
     let members = &group.members;
-    if members.len() > SAMPLE {
-        let drawn = (0..SAMPLE).map(|_| members[rng.random_range(0..members.len())]);
-        let drawn: Vec<Candidate<'a>> = drawn.filter_map(look).collect();
-        if !drawn.is_empty() {
-            return drawn;
+    if members.len() > SAMPLE_SIZE {
+        let sampled = (0..SAMPLE_SIZE).map(|_| members[rng.random_range(0..members.len())]);
+        let sampled: Vec<Candidate<'a>> = sampled.filter_map(usable_target).collect();
+        if !sampled.is_empty() {
+            return sampled;
         }
     }
-    members.iter().copied().filter_map(look).collect()
+    members.iter().copied().filter_map(usable_target).collect()
 }
 
 /// The cheapest of the candidates with its cost: the predicted time of one decode step, in seconds,
@@ -158,7 +158,7 @@
 
 /// Why no chain could be chosen.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum NoChain {
+pub enum ChainUnavailable {
     /// Live engines don't cover the layers.
     Uncovered,
     /// They do, but none of some range has a free slot.
@@ -169,25 +169,25 @@
 /// the cheapest of a few of its engines. The work grows with the number of groups, not of engines.
 ///
 /// # Errors
-/// [`NoChain`] if the engines that take work don't cover the layers.
+/// [`ChainUnavailable`] if the engines that take work don't cover the layers.
 pub fn choose(
     groups: &[Group],
     targets: &SlotMap<TargetKey, Target>,
     layers: u32,
     rng: &mut ChaCha8Rng,
-) -> Result<Vec<Stage>, NoChain> {
+) -> Result<Vec<Stage>, ChainUnavailable> {
     let free = |_: TargetKey, target: &Target| target.takes_work() && target.has_slot();
-    if let Some(stages) = shortest(groups, targets, layers, free, rng) {
+    if let Some(stages) = shortest_path(groups, targets, layers, free, rng) {
         return Ok(stages);
     }
     let any = |_: TargetKey, target: &Target| target.takes_work();
-    match shortest(groups, targets, layers, any, rng) {
-        Some(_) => Err(NoChain::Full),
-        None => Err(NoChain::Uncovered),
+    match shortest_path(groups, targets, layers, any, rng) {
+        Some(_) => Err(ChainUnavailable::Full),
+        None => Err(ChainUnavailable::Uncovered),
     }
 }
 
-fn shortest(
+fn shortest_path(
     groups: &[Group],
     targets: &SlotMap<TargetKey, Target>,
     layers: u32,
@@ -201,7 +201,7 @@
             Some((cost, _)) => cost,
             None => continue,
         };
-        let candidates = draw(group, targets, &usable, rng);
+        let candidates = sample_candidates(group, targets, &usable, rng);
         let Some((cost, target)) = cheapest(&candidates, rng) else {
             continue;
         };
@@ -211,10 +211,10 @@
             *end = Some((reached + cost, Stage { target, layers }));
         }
     }
-    trace(&best, layers)
+    reconstruct_path(&best, layers)
 }
 
-fn trace(best: &[Option<(f64, Stage)>], layers: u32) -> Option<Vec<Stage>> {
+fn reconstruct_path(best: &[Option<(f64, Stage)>], layers: u32) -> Option<Vec<Stage>> {
     let mut stages = Vec::new();
     let mut end = layers;
     while end > 0 {
@@ -237,6 +237,6 @@
 ) -> Option<TargetKey> {
     let group = groups.iter().find(|group| group.layers == layers)?;
     let usable = |key: TargetKey, target: &Target| key != not && target.takes_work();
-    let candidates = draw(group, targets, usable, rng);
+    let candidates = sample_candidates(group, targets, usable, rng);
     cheapest(&candidates, rng).map(|(_, target)| target)
 }
--- a/reachtally-core/src/claim.rs
+++ b/reachtally-core/src/claim.rs
@@ -1,13 +1,14 @@
-//! At most once by claims in the log.
+//! At-most-once execution through claims in the log.
 //!
-//! Before a request that may not be repeated is sent anywhere, its daemon appends a claim of its key
-//! and reads it back. The first claim of a key in log order owns the only dispatch there will ever
-//! be: nobody takes over, so a paused owner can't double the request. Only the owner can release the
-//! claim, and only while it has not dispatched. Claims, outcomes and releases of all requests that
-//! wait share one record (group commit).
+//! Before a non-repeatable request is sent to any target, the daemon appends a claim of its key and
+//! reads it back. The first claim of a key in log order owns the only dispatch of that key: no
+//! other daemon takes over, so an owner that resumes after a pause cannot run the request twice.
+//! Only the owner can release the claim, and only before dispatch. Claims, outcomes and releases of
+//! all waiting requests share one record (group commit).
 //!
-//! Every entry may be appended twice: a second claim by the same owner, or a second outcome, folds
-//! to nothing. So an append whose answer was lost is simply repeated unless the fold shows it.
+//! Entries are idempotent: a second claim by the same owner, or a second outcome, has no effect. An
+//! append whose response was lost is therefore repeated unless the folded state already reflects
+//! it.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
@@ -18,19 +19,19 @@
 use crate::request::Answer;
 use crate::time::Instant;
 
-/// The identity under which a request may run once.
+/// The key under which a request runs at most once.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct ClaimKey {
-    /// The client account; keys of different accounts are different.
+    /// Name of the client account; each account has its own key namespace.
     pub account: String,
-    /// The caller's idempotency key.
+    /// The idempotency key set by the caller.
     pub key: String,
 }
 
-/// The longest answer body that is recorded, in bytes.
+/// Maximum size of a recorded answer body, in bytes.
 pub const RECORDED_BODY_MAX: usize = 2048;
 
-/// An outcome as the claim stream keeps it.
+/// An outcome as stored in the claim stream.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Recorded {
@@ -40,15 +41,15 @@
         status: u16,
         /// Media type of the body.
         content_type: Option<String>,
-        /// The body as text; nothing if it was too long to record or not text.
+        /// The body as text, or `None` if it was too long to record or not valid UTF-8.
         body: Option<String>,
     },
-    /// Its outcome is unknown, and will stay so.
+    /// The outcome is unknown and remains so.
     Unknown,
 }
 
 impl Recorded {
-    /// Record an answer, without its body where that is too long.
+    /// Create the record of an answer, omitting a body that is too long or not valid UTF-8.
     pub fn of(answer: &Answer) -> Self {
         let fits = answer.body.len() <= RECORDED_BODY_MAX;
         let text = std::str::from_utf8(&answer.body).ok().filter(|_| fits);
@@ -64,14 +65,14 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Entry {
-    /// Claim the key for a request whose body has this digest.
+    /// Claim the key for a request with this digest.
     Claim {
         /// The key.
         key: ClaimKey,
         /// Digest of the request.
         digest: u64,
     },
-    /// The owner gives the key back; it has not dispatched and will not.
+    /// Release the key. The owner has not dispatched the request and will not do so.
     Release {
         /// The key.
         key: ClaimKey,
@@ -80,13 +81,13 @@
     Outcome {
         /// The key.
         key: ClaimKey,
-        /// How.
+        /// The outcome.
         outcome: Recorded,
     },
-    /// The log has come back from an older copy: claims that were taken since are gone, and any key of before this record
-    /// may be one of theirs.
+    /// The log was restored from an older copy. Claims appended after that copy was taken are lost,
+    /// and a key older than this record may belong to one of them.
     Returned {
-        /// How often it has.
+        /// Number of times the log has been restored.
         returns: u64,
     },
 }
@@ -94,74 +95,75 @@
 /// One record of the claim stream.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ClaimRecord {
-    /// The daemon run that appended it.
+    /// The daemon run that appended the record.
     pub by: Incarnation,
     /// The entries, in order.
     pub entries: Vec<Entry>,
 }
 
-/// What the log says of a key.
+/// The state of a claimed key.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Claim {
-    /// The daemon run that owns it.
+    /// The daemon run that owns the key.
     pub owner: Incarnation,
-    /// Digest of the request that it was claimed for.
+    /// Digest of the request that claimed the key.
     pub digest: u64,
-    /// The recorded outcome, once there is one.
+    /// The recorded outcome, if the request has ended.
     pub outcome: Option<Recorded>,
-    /// When the log took the claim, in milliseconds of the log's clock.
+    /// When the claim was appended, in milliseconds of the log's clock.
     pub at_ms: u64,
 }
 
-/// The fold of the claim stream. A pure function of the records.
+/// The folded claim stream, a pure function of its records.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct Claims {
     by_key: BTreeMap<ClaimKey, Claim>,
     by_age: VecDeque<(u64, ClaimKey)>,
 }
 
-/// What folding one entry meant to the daemon run that watches.
+/// The effect of folding one entry.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Folded {
-    /// `owner` now owns the key.
+pub enum ClaimChange {
+    /// The key was claimed.
     Owned(ClaimKey),
-    /// The key was given back.
+    /// The key was released.
     Released(ClaimKey),
-    /// The owner's request ended.
+    /// The request of the owner ended.
     Ended(ClaimKey),
-    /// No effect: the key is owned already, or the entry is not the owner's.
-    Nothing,
+    /// The entry had no effect: the key is already owned, or the entry does not come from the
+    /// owner.
+    Unchanged,
 }
 
 impl Claims {
-    /// What the log says of `key`.
+    /// Return the claim of `key`.
     pub fn get(&self, key: &ClaimKey) -> Option<&Claim> {
         self.by_key.get(key)
     }
 
-    /// Number of keys known.
+    /// Number of known keys.
     pub fn len(&self) -> usize {
         self.by_key.len()
     }
 
-    /// Whether no key is known.
+    /// Whether no keys are known.
     pub fn is_empty(&self) -> bool {
         self.by_key.is_empty()
     }
 
-    /// Fold one entry appended by `by` and taken by the log at `at_ms`.
-    pub fn fold(&mut self, by: Incarnation, at_ms: u64, entry: &Entry) -> Folded {
+    /// Fold one entry that was appended by `by` at `at_ms`.
+    pub fn fold(&mut self, by: Incarnation, at_ms: u64, entry: &Entry) -> ClaimChange {
         match entry {
             Entry::Claim { key, digest } => self.claim(by, at_ms, key, *digest),
             Entry::Release { key } => self.release(by, key),
             Entry::Outcome { key, outcome } => self.end(by, key, outcome),
-            Entry::Returned { .. } => Folded::Nothing,
+            Entry::Returned { .. } => ClaimChange::Unchanged,
         }
     }
 
-    fn claim(&mut self, by: Incarnation, at_ms: u64, key: &ClaimKey, digest: u64) -> Folded {
+    fn claim(&mut self, by: Incarnation, at_ms: u64, key: &ClaimKey, digest: u64) -> ClaimChange {
         if self.by_key.contains_key(key) {
-            return Folded::Nothing;
+            return ClaimChange::Unchanged;
         }
         let claim = Claim {
             owner: by,
@@ -171,33 +173,33 @@
         };
         self.by_key.insert(key.clone(), claim);
         self.by_age.push_back((at_ms, key.clone()));
-        Folded::Owned(key.clone())
+        ClaimChange::Owned(key.clone())
     }
 
-    fn release(&mut self, by: Incarnation, key: &ClaimKey) -> Folded {
+    fn release(&mut self, by: Incarnation, key: &ClaimKey) -> ClaimChange {
         let releasable = self
             .by_key
             .get(key)
             .is_some_and(|claim| claim.owner == by && claim.outcome.is_none());
         if !releasable {
-            return Folded::Nothing;
+            return ClaimChange::Unchanged;
         }
         self.by_key.remove(key);
-        Folded::Released(key.clone())
+        ClaimChange::Released(key.clone())
     }
 
-    fn end(&mut self, by: Incarnation, key: &ClaimKey, outcome: &Recorded) -> Folded {
+    fn end(&mut self, by: Incarnation, key: &ClaimKey, outcome: &Recorded) -> ClaimChange {
         match self.by_key.get_mut(key) {
             Some(claim) if claim.owner == by && claim.outcome.is_none() => {
                 claim.outcome = Some(outcome.clone());
-                Folded::Ended(key.clone())
+                ClaimChange::Ended(key.clone())
             }
-            _ => Folded::Nothing,
+            _ => ClaimChange::Unchanged,
         }
     }
 
-    /// Forget claims that the log took before `cutoff_ms`. The cut-off follows the log's own clock,
-    /// so every daemon forgets alike.
+    /// Remove claims appended before `cutoff_ms`. The cutoff follows the clock of the log, so all
+    /// daemons remove the same claims.
     pub fn expire(&mut self, cutoff_ms: u64) {
         while let Some((at_ms, _)) = self.by_age.front() {
             if *at_ms >= cutoff_ms {
@@ -216,8 +218,8 @@
         }
     }
 
-    /// Whether the fold already shows what `entry` says, so that it need not be appended again.
-    pub fn shows(&self, by: Incarnation, entry: &Entry) -> bool {
+    /// Whether the folded state already reflects `entry`, so that it need not be appended again.
+    pub fn reflects(&self, by: Incarnation, entry: &Entry) -> bool {
         match entry {
             Entry::Claim { key, .. } => self.by_key.contains_key(key),
             Entry::Release { key } => self.by_key.get(key).is_none_or(|claim| claim.owner != by),
@@ -230,10 +232,10 @@
     }
 }
 
-/// Most entries in one record.
+/// Maximum number of entries in one record.
 const ENTRIES_PER_RECORD: usize = 1024;
 
-/// Entries on their way into the log.
+/// Entries waiting to be appended to the log.
 #[derive(Debug, Default)]
 pub struct Outbox {
     unsent: VecDeque<Entry>,
@@ -243,18 +245,19 @@
 }
 
 impl Outbox {
-    /// Append `entry` with the next record.
+    /// Queue `entry` for the next record.
     pub fn push(&mut self, entry: Entry) {
         self.unsent.push_back(entry);
     }
 
-    /// When the next record may be appended, if one is due.
+    /// Return the time at which the next record may be appended, if there is one to append.
     pub fn due(&self) -> Option<Instant> {
         let idle = self.in_flight.is_none() && !self.unsent.is_empty();
         idle.then_some(self.next_at)
     }
 
-    /// The next record and its number, if one may be appended now. Records are `interval` apart.
+    /// Take the next record and its sequence number if it may be appended now. Records are at least
+    /// `interval` apart.
     pub fn take(&mut self, now: Instant, interval: Duration) -> Option<(u64, Vec<Entry>)> {
         if self.due()? > now {
             return None;
@@ -267,7 +270,8 @@
         Some((self.seq, entries))
     }
 
-    /// The log answered record `seq`; entries of a lost answer that `claims` does not show go again.
+    /// Handle the response to record `seq`. If it was not confirmed, requeue the entries that
+    /// `claims` does not reflect.
     pub fn answered(&mut self, seq: u64, confirmed: bool, claims: &Claims, by: Incarnation) {
         let Some((_, entries)) = self.in_flight.take_if(|(sent, _)| *sent == seq) else {
             return;
@@ -276,28 +280,28 @@
             return;
         }
         for entry in entries.into_iter().rev() {
-            if !claims.shows(by, &entry) {
+            if !claims.reflects(by, &entry) {
                 self.unsent.push_front(entry);
             }
         }
     }
 }
 
-/// Requests of this daemon that wait for a key, the first being the one that would run.
+/// Requests of this daemon that wait for a key. The first one for each key is the one to run.
 #[derive(Debug, Default)]
 pub struct Waiting {
     by_key: BTreeMap<ClaimKey, Vec<RequestKey>>,
 }
 
 impl Waiting {
-    /// Let `request` wait; `true` if it is the first for the key.
+    /// Add a waiting `request`, and return `true` if it is the first for the key.
     pub fn push(&mut self, key: ClaimKey, request: RequestKey) -> bool {
         let requests = self.by_key.entry(key).or_default();
         requests.push(request);
         requests.len() == 1
     }
 
-    /// Let `request` wait no more.
+    /// Remove a waiting `request`.
     pub fn remove(&mut self, key: &ClaimKey, request: RequestKey) {
         if let Some(requests) = self.by_key.get_mut(key) {
             requests.retain(|waiting| *waiting != request);
@@ -307,22 +311,22 @@
         }
     }
 
-    /// The first request that waits for `key`.
+    /// Return the first request that waits for `key`.
     pub fn first(&self, key: &ClaimKey) -> Option<RequestKey> {
         self.by_key.get(key)?.first().copied()
     }
 
-    /// All requests that wait for `key`.
+    /// Return all requests that wait for `key`.
     pub fn all(&self, key: &ClaimKey) -> Vec<RequestKey> {
         self.by_key.get(key).cloned().unwrap_or_default()
     }
 
-    /// All requests that wait for any key.
+    /// Return all requests that wait for any key.
     pub fn requests(&self) -> Vec<RequestKey> {
         self.by_key.values().flatten().copied().collect()
     }
 
-    /// Take all requests that wait for `key`.
+    /// Remove and return all requests that wait for `key`.
     pub fn take(&mut self, key: &ClaimKey) -> Vec<RequestKey> {
         self.by_key.remove(key).unwrap_or_default()
     }
--- a/reachtally-core/src/effect.rs
+++ b/reachtally-core/src/effect.rs
@@ -67,7 +67,7 @@
         /// The engine taken.
         to: String,
         /// How the KV is restored.
-        way: crate::restore::Way,
+        way: crate::restore::RestoreMethod,
         /// The position at which it goes on.
         position: u32,
     },
--- a/reachtally-core/src/fold.rs
+++ b/reachtally-core/src/fold.rs
@@ -1,9 +1,9 @@
-//! The declared configuration as a deterministic fold of the log's configuration stream.
+//! The declared configuration, computed as a deterministic fold of the log's configuration stream.
 //!
-//! Every daemon folds the same records in the same order and so reaches the same verdict on each:
-//! an operation id seen before has no effect, and an operation made against an outdated revision of
-//! its object is a conflict. The offset reached only grows; a gap in offsets is an error, since a
-//! record that retention dropped before it was read can't be skipped safely.
+//! Every daemon folds the same records in the same order and therefore reaches the same verdict on
+//! each: an operation id seen before has no effect, and an operation based on an outdated revision
+//! of its object is a conflict. The offset never decreases. A gap in offsets is an error, since
+//! records that retention removed before they were read cannot be skipped safely.
 
 use std::collections::BTreeMap;
 
@@ -11,95 +11,95 @@
 
 use crate::declare::{Adapter, Kind, Model, Object};
 
-/// An operation that an operator publishes.
+/// An operation published by an operator.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Operation {
-    /// Identity of the operation; publishing it twice is the same operation.
+    /// Unique id; publishing the same id twice has no further effect.
     pub id: String,
-    /// Who published it.
+    /// The operator who published the operation.
     pub actor: String,
-    /// The changes, taken together or not at all.
+    /// The edits, which apply atomically.
     pub edits: Vec<Edit>,
 }
 
 /// A change of one object.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Edit {
-    /// Kind of the object changed.
+    /// Kind of the edited object.
     pub kind: Kind,
-    /// Name of the object changed.
+    /// Name of the edited object.
     pub name: String,
-    /// The revision it was made against, 0 for an object that should not exist yet.
+    /// The revision the edit is based on, or 0 if the object must not exist yet.
     pub base: u64,
-    /// What is done to the object.
+    /// The change to the object.
     pub change: EditChange,
 }
 
-/// What an [`Edit`] does.
+/// The change made by an [`Edit`].
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum EditChange {
-    /// Put the object as given.
+    /// Create or replace the object.
     Put(Object),
-    /// Give a target no new work (`true`), or give it work again (`false`).
+    /// Stop sending new work to a target (`true`), or resume (`false`).
     Drain(bool),
-    /// Drain a target and stop it once nothing runs there (`true`), or take that back (`false`).
+    /// Drain a target and stop it once it is idle (`true`), or revert that (`false`).
     Stop(bool),
     /// Remove the object.
     Remove,
 }
 
-/// An object in force with the offset that last changed it.
+/// A declared object with its revision.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Entry {
-    /// Offset plus one of the record that last changed the object, so never 0.
+    /// Offset of the record that last changed the object, plus one, so never 0.
     pub revision: u64,
     /// The object.
     pub object: Object,
-    /// Whether an operator has drained it.
+    /// Whether an operator drained the object.
     pub drained: bool,
-    /// Whether an operator wants it stopped; it is drained then, too.
+    /// Whether an operator stopped the object, which implies that it is drained.
     #[serde(default)]
     pub stopped: bool,
 }
 
-/// What a name stands for that callers give as the model.
+/// The model and adapter that a model name used by callers resolves to.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Served<'a> {
-    /// The model that runs.
+pub struct ResolvedModel<'a> {
+    /// The model.
     pub model: &'a Model,
-    /// The adapter, if the name is one.
+    /// The adapter, if the name is that of an adapter.
     pub adapter: Option<&'a Adapter>,
 }
 
-/// The verdict on one operation, the same in every daemon.
+/// The result of folding one operation, which is the same on every daemon.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Verdict {
-    /// It changed the configuration.
+    /// The configuration was changed.
     Applied,
-    /// Its id was seen before; no effect.
+    /// The operation id was seen before; no effect.
     Duplicate,
-    /// An object had another revision than the operation was made against; no effect.
+    /// The current revision of an object differs from the base revision of the edit; no effect.
     Conflict {
         /// Kind of the object in conflict.
         kind: Kind,
         /// Name of the object in conflict.
         name: String,
-        /// The revision the operation was made against.
+        /// The revision the edit was based on.
         base: u64,
-        /// The revision in force.
+        /// The current revision.
         current: u64,
     },
 }
 
-/// Why a record could not be folded.
+/// Error returned when a record cannot be folded.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum FoldError {
-    /// Offsets between `expected` and `found` were lost.
+    /// The records between `expected` and `found` are missing.
     Gap {
-        /// The next offset due.
+        /// The next expected offset.
         expected: u64,
-        /// The offset found.
+        /// The offset found instead.
         found: u64,
     },
 }
@@ -116,10 +116,10 @@
 
 impl std::error::Error for FoldError {}
 
-/// Operation ids remembered for telling a repeated publication.
+/// Number of operation ids remembered to detect duplicates.
 const REMEMBERED_OPERATIONS: usize = 4096;
 
-/// The configuration in force at one offset.
+/// The configuration at one offset of the stream.
 #[derive(Debug, Clone, PartialEq, Eq, Default, Serialize, Deserialize)]
 pub struct Config {
     next: u64,
@@ -128,17 +128,17 @@
 }
 
 impl Config {
-    /// The next offset due, which is the number of records folded. It only grows.
+    /// The next expected offset, which equals the number of records folded. Never decreases.
     pub fn next(&self) -> u64 {
         self.next
     }
 
-    /// The entry of an object, if it exists.
+    /// Return the entry of an object, if it exists.
     pub fn get(&self, kind: Kind, name: &str) -> Option<&Entry> {
         self.entries.get(&kind)?.get(name)
     }
 
-    /// All entries of one kind, by name.
+    /// Iterate over all entries of one kind by name.
     pub fn of(&self, kind: Kind) -> impl Iterator<Item = (&str, &Entry)> {
         self.entries
             .get(&kind)
@@ -147,26 +147,27 @@
             .map(|(name, entry)| (name.as_str(), entry))
     }
 
-    /// The model that callers reach under `name`, and the adapter if `name` is one.
-    pub fn served<'a>(&'a self, name: &'a str) -> Option<Served<'a>> {
+    /// Resolve the name under which callers request a model. The name is either that of a model or
+    /// of an adapter.
+    pub fn served<'a>(&'a self, name: &'a str) -> Option<ResolvedModel<'a>> {
         let adapter = match self.get(Kind::Adapter, name).map(|entry| &entry.object) {
             Some(Object::Adapter(adapter)) => Some(adapter),
             _ => None,
         };
         let model = adapter.map_or(name, |adapter| adapter.model.as_str());
         match self.get(Kind::Model, model).map(|entry| &entry.object) {
-            Some(Object::Model(model)) => Some(Served { model, adapter }),
+            Some(Object::Model(model)) => Some(ResolvedModel { model, adapter }),
             _ => None,
         }
     }
 
-    /// The revision of an object, 0 if it does not exist.
+    /// Return the revision of an object, or 0 if it does not exist.
     pub fn revision(&self, kind: Kind, name: &str) -> u64 {
         self.get(kind, name).map_or(0, |entry| entry.revision)
     }
 
-    /// The edits that put `objects` in place of what is in force. Objects that are the same already
-    /// are left out, so applying twice changes nothing.
+    /// Return the edits that change the current configuration to contain `objects`. Unchanged
+    /// objects are omitted, so applying the same objects twice has no effect.
     pub fn edits(&self, objects: Vec<Object>) -> Vec<Edit> {
         let changed = objects.into_iter().filter(|object| {
             let entry = self.get(object.kind(), object.name());
@@ -184,8 +185,8 @@
         }
     }
 
-    /// Fold the operation at `offset`. A record before [`next`](Self::next) was folded already and
-    /// yields `Ok(None)`.
+    /// Fold the operation at `offset`. Returns `Ok(None)` for a record before [`next`](Self::next),
+    /// which was folded already.
     ///
     /// # Errors
     /// [`FoldError::Gap`] if records before `offset` have not been folded.
@@ -203,8 +204,8 @@
         Ok(Some(self.apply(offset, op)))
     }
 
-    /// Take over a configuration that a snapshot or a peer offers, if it has folded more records.
-    /// Returns whether it was taken over. The offset never goes back.
+    /// Replace the configuration with one offered by a snapshot or a peer if that one has folded
+    /// more records. Returns whether it was replaced. The offset never decreases.
     pub fn adopt(&mut self, offered: Config) -> bool {
         if offered.next <= self.next {
             return false;
--- a/reachtally-core/src/latency.rs
+++ b/reachtally-core/src/latency.rs
@@ -13,47 +13,47 @@
 const TIMEOUT_FLOOR: Duration = Duration::from_millis(250);
 const TIMEOUT_CAP: Duration = Duration::from_secs(30);
 /// Time assumed for a step over one position before the first sample.
-const FIRST_SINGLE: f64 = 0.040;
+const INITIAL_SINGLE: f64 = 0.040;
 /// Time assumed for each position of a span before the first sample.
-const FIRST_POSITION: f64 = 0.001;
+const INITIAL_POSITION: f64 = 0.001;
 /// The least estimate, so that a quantile can grow from it.
-const LEAST: f64 = 1e-6;
+const MIN_SECONDS: f64 = 1e-6;
 
 /// A mean and a high quantile of times in seconds, followed by stochastic approximation: the quantile
 /// moves up by `GAIN * QUANTILE` of itself on a sample above it and down by `GAIN * (1 - QUANTILE)`
 /// on one below, so old samples decay and memory stays constant.
 #[derive(Debug, Clone)]
 struct Estimate {
-    high: f64,
+    quantile: f64,
     mean: f64,
     measured: bool,
 }
 
 impl Estimate {
-    fn guess(seconds: f64) -> Self {
+    fn initial(seconds: f64) -> Self {
         Estimate {
-            high: seconds,
+            quantile: seconds,
             mean: seconds,
             measured: false,
         }
     }
 
     fn sample(&mut self, seconds: f64) {
-        let sample = seconds.max(LEAST);
+        let sample = seconds.max(MIN_SECONDS);
         if !self.measured {
             *self = Estimate {
-                high: sample,
+                quantile: sample,
                 mean: sample,
                 measured: true,
             };
             return;
         }
         self.mean += GAIN * (sample - self.mean);
-        if sample > self.high {
+        if sample > self.quantile {
             // A sample far above pulls harder, so that a slower stage is followed within a few steps.
-            self.high += (GAIN * QUANTILE * self.high).max(GAIN * (sample - self.high));
+            self.quantile += (GAIN * QUANTILE * self.quantile).max(GAIN * (sample - self.quantile));
         } else {
-            self.high -= GAIN * (1.0 - QUANTILE) * self.high;
+            self.quantile -= GAIN * (1.0 - QUANTILE) * self.quantile;
         }
     }
 }
@@ -69,8 +69,8 @@
 impl Default for Latency {
     fn default() -> Self {
         Latency {
-            single: Estimate::guess(FIRST_SINGLE),
-            position: Estimate::guess(FIRST_POSITION),
+            single: Estimate::initial(INITIAL_SINGLE),
+            position: Estimate::initial(INITIAL_POSITION),
         }
     }
 }
@@ -105,7 +105,7 @@
     /// Time after which a step over `positions` positions counts as lost.
     pub fn timeout(&self, positions: u32) -> Duration {
         let further = f64::from(positions.saturating_sub(1));
-        let high = self.single.high + self.position.high * further;
-        Duration::from_secs_f64(high * TIMEOUT_FACTOR).clamp(TIMEOUT_FLOOR, TIMEOUT_CAP)
+        let quantile = self.single.quantile + self.position.quantile * further;
+        Duration::from_secs_f64(quantile * TIMEOUT_FACTOR).clamp(TIMEOUT_FLOOR, TIMEOUT_CAP)
     }
 }
--- a/reachtally-core/src/lease.rs
+++ b/reachtally-core/src/lease.rs
@@ -1,9 +1,10 @@
-//! The steward's lease of a failure domain, and what the domain has confirmed.
+//! The steward's lease of a failure domain, and the configuration offset confirmed by the domain.
 //!
-//! Both are folds of one stream of the log. A lease is taken by appending; it is valid if the one
-//! before ended by the log's own clock, or is the same holder's. Its fence is the record's offset. A
-//! holder counts its lease from before it sent the append, by its own monotonic clock and less a
-//! margin, so it stops before anybody else can start.
+//! Both are folded from one stream of the log. A lease is acquired by appending a record. The
+//! record is valid if the previous lease had expired by the clock of the log, or if it has the same
+//! holder. Its fence is the offset of that record. The holder counts its lease from before it sent
+//! the append, by its own monotonic clock and minus a margin, so it stops acting before another
+//! daemon can acquire the lease.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -13,77 +14,77 @@
 use crate::ids::Incarnation;
 use crate::time::Instant;
 
-/// How long a lease lasts.
+/// Duration of a lease.
 pub const LEASE: Duration = Duration::from_secs(10);
-/// What a holder takes off for clocks that run at different rates.
+/// Safety margin subtracted by the holder to allow for clock drift.
 pub const LEASE_MARGIN: Duration = Duration::from_secs(2);
 /// Time between two renewals.
 pub const RENEW_INTERVAL: Duration = Duration::from_secs(3);
 
-/// One record of the stream of failure domains.
+/// One record of the failure domain stream.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum DomainRecord {
-    /// Take or renew the lease.
+    /// Acquire or renew the lease.
     Lease {
         /// The failure domain.
         domain: String,
-        /// The daemon run that takes it.
+        /// The daemon run that acquires the lease.
         holder: Incarnation,
-        /// Numbers the appends of this run, so that it knows when each was sent.
+        /// Sequence number of the append within this run, used to look up when it was sent.
         seq: u64,
     },
-    /// Every live box of the domain serves by this configuration offset.
+    /// Every live box of the domain serves this configuration offset.
     Confirm {
         /// The failure domain.
         domain: String,
-        /// The steward that says so.
+        /// The steward that confirms the offset.
         holder: Incarnation,
-        /// The offset.
+        /// The confirmed offset.
         config_next: u64,
     },
 }
 
-/// A lease as the log has it.
+/// A lease as recorded in the log.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Lease {
-    /// The daemon run that holds it.
+    /// The daemon run that holds the lease.
     pub holder: Incarnation,
-    /// Offset of the record by which this holder first took it.
+    /// Offset of the record with which this holder acquired the lease.
     pub fence: u64,
-    /// When the log took the last renewal, in milliseconds of the log's clock.
+    /// Time of the last renewal, in milliseconds of the log's clock.
     pub at_ms: u64,
 }
 
-/// What the log says of one failure domain.
+/// The recorded state of one failure domain.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct DomainState {
-    /// The lease last taken.
+    /// The most recently acquired lease.
     pub lease: Option<Lease>,
-    /// The configuration offset that every live box of the domain has confirmed.
+    /// The configuration offset confirmed for every live box of the domain.
     pub confirmed: u64,
 }
 
-/// The fold of the stream.
+/// The folded stream of failure domain records.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct Domains {
     by_name: BTreeMap<String, DomainState>,
 }
 
 impl Domains {
-    /// What the log says of a domain.
+    /// Return the state of a domain.
     pub fn get(&self, domain: &str) -> DomainState {
         self.by_name.get(domain).copied().unwrap_or_default()
     }
 
-    /// Every domain that was ever mentioned.
+    /// Iterate over every domain that has a record.
     pub fn iter(&self) -> impl Iterator<Item = (&str, DomainState)> {
         self.by_name
             .iter()
             .map(|(name, state)| (name.as_str(), *state))
     }
 
-    /// Fold the record at `offset`, which the log took at `at_ms`.
+    /// Fold the record at `offset`, which was appended at `at_ms`.
     pub fn fold(&mut self, offset: u64, at_ms: u64, record: &DomainRecord) {
         match record {
             DomainRecord::Lease { domain, holder, .. } => {
@@ -113,7 +114,7 @@
         };
     }
 
-    /// Only the holder's word counts, and a confirmed offset never goes back.
+    /// Only confirmations by the lease holder count, and the confirmed offset never decreases.
     fn confirm(&mut self, domain: &str, holder: Incarnation, config_next: u64) {
         let state = self.by_name.entry(domain.to_owned()).or_default();
         if state.lease.is_some_and(|lease| lease.holder == holder) {
@@ -122,23 +123,23 @@
     }
 }
 
-/// A daemon's own view of its domain's lease.
+/// This daemon's view of the lease of its domain.
 #[derive(Debug, Clone, Default)]
-pub struct Tenure {
-    /// Number of the last append of the lease and when it was sent.
+pub struct LocalLease {
+    /// Sequence number of the last lease append and when it was sent.
     pub sent: Option<(u64, Instant)>,
-    /// Until when this daemon may act as the steward.
+    /// Time until which this daemon may act as the steward.
     pub held_until: Option<Instant>,
-    /// When somebody's lease was last seen taken or renewed.
+    /// When any daemon's acquisition or renewal was last observed.
     pub seen_at: Option<Instant>,
-    /// Whether an append is outstanding.
+    /// Whether a lease append is outstanding.
     pub in_flight: bool,
-    /// When to append next at the earliest.
+    /// Earliest time of the next append.
     pub next_at: Instant,
 }
 
-impl Tenure {
-    /// Whether this daemon is the steward, with `margin` to spare.
+impl LocalLease {
+    /// Whether this daemon holds the lease for at least `margin` longer.
     pub fn is_held(&self, now: Instant, margin: Duration) -> bool {
         self.held_until.is_some_and(|until| now + margin < until)
     }
--- a/reachtally-core/src/life.rs
+++ b/reachtally-core/src/life.rs
@@ -1,65 +1,67 @@
 //! The life cycle of a request as a typestate.
 //!
 //! `Received → Admitted → Claimed → Dispatched → Streaming`. Only the states before `Dispatched`
-//! can be refused as not run, since [`NotRun`] can be built nowhere else. After dispatch a request
-//! completes, ends with an unknown outcome, or goes back on a [`NeverStarted`] proof.
+//! can be refused as not run, since [`NotRun`] cannot be constructed elsewhere. After dispatch a
+//! request completes, ends with an unknown outcome, or reverts to an earlier state on a
+//! [`NeverStarted`] proof.
 
 use std::time::Duration;
 
-/// A request that was received and not judged yet.
+/// A request that was received but not yet checked for admission.
 #[derive(Debug)]
 pub struct Received(());
-/// A request that was admitted and counts against its account.
+/// A request that was admitted and counts against the limit of its account.
 #[derive(Debug)]
 pub struct Admitted(());
-/// A request that may not be repeated and whose claim is the first of its key in the log.
+/// A non-repeatable request whose claim is the first of its key in the log.
 #[derive(Debug)]
 pub struct Claimed(());
-/// A request of which a target may have seen a byte.
+/// A request of which a target may have received at least one byte.
 #[derive(Debug)]
 pub struct Dispatched {
     claimed: bool,
 }
-/// A request of whose answer the caller has received a part.
+/// A request whose answer has been partly delivered to the caller.
 #[derive(Debug)]
 pub struct Streaming(());
 
 /// Why a request was refused before it ran.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Refusal {
-    /// The account is unknown.
+    /// The account does not exist.
     UnknownAccount,
-    /// No such model is declared.
+    /// The model is not declared.
     UnknownModel,
-    /// No such service is declared.
+    /// The service is not declared.
     UnknownService,
-    /// The account may not use the model or service.
+    /// The account is not permitted to use the model or service.
     NotAllowed,
-    /// The account has as many requests running as it may.
+    /// The account has reached its limit of running requests.
     AccountLimit,
     /// No chain of live engines covers the model's layers, or no instance of the service is live.
     NoTarget,
-    /// The engines have no free slot.
+    /// No engine of the chain has a free slot.
     Busy,
     /// The daemon is stopping.
     Stopping,
-    /// The daemon was paused and has not yet compared its configuration with the log or a peer.
+    /// The daemon was paused and has not yet revalidated its configuration against the log or a
+    /// peer.
     Paused,
-    /// The key of a request that may not be repeated is in use by another request body.
+    /// The idempotency key was already used for a request with a different body.
     KeyReused,
-    /// The log could not confirm in time that this request is the first of its key.
+    /// The log did not confirm in time that this request is the first of its key.
     ClaimUnconfirmed,
-    /// The deadline passed before the request was sent anywhere.
+    /// The deadline passed before the request was sent to a target.
     Deadline,
-    /// A target refused it before it started, and no other is left to try.
+    /// A target refused the request before starting it, and no other target is left to try.
     NeverStarted,
-    /// Engines that began to run it ended, one after the other.
+    /// Engines that started to run the request crashed in a row.
     Quarantined,
-    /// Its service has no room for requests of its rank in time.
+    /// The service was at capacity for requests of this priority until the wait expired.
     Shed,
 }
 
-/// The proven statement that no target ran any of the request.
+/// Proof that no target ran any part of the request.
 #[derive(Debug, PartialEq, Eq)]
 pub struct NotRun {
     refusal: Refusal,
@@ -81,39 +83,40 @@
         }
     }
 
-    /// Why it was refused.
+    /// The reason for the refusal.
     pub fn refusal(&self) -> &Refusal {
         &self.refusal
     }
 
-    /// When the caller may try again, if that can help.
+    /// How long the caller should wait before a retry, if a retry can help.
     pub fn retry_after(&self) -> Option<Duration> {
         self.retry_after
     }
 }
 
-/// The proof that a target ran nothing of what was sent: the connection was refused before a byte
-/// left, or the target said so itself. Target adapters build it; see `docs/design/outcomes.md`.
+/// Proof that a target did not run the request: either the connection failed before any byte was
+/// sent, or the target reported it explicitly. Constructed by target adapters; see
+/// `docs/design/outcomes.md`.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum NeverStarted {
-    /// No connection came about, so no byte was sent.
+    /// The connection could not be established, so no byte was sent.
     ConnectFailed,
-    /// The target said explicitly that it did not start.
+    /// The target reported explicitly that it did not start.
     TargetSaidSo,
 }
 
 /// Why the outcome of a request is unknown.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Unknown {
-    /// The target's answer did not come, or came damaged.
+    /// The target's answer did not arrive or was corrupted.
     AnswerLost,
-    /// The deadline passed while it ran.
+    /// The deadline passed while the request was running.
     Deadline,
-    /// A stage was lost and nothing could take its place.
+    /// A stage was lost and no replacement was available.
     NoReplacement,
-    /// One engine after the other was lost under the same step.
+    /// Engines were lost in a row under the same step.
     EnginesLost,
-    /// Another daemon run owns the key and recorded no outcome.
+    /// Another daemon run owns the key and has recorded no outcome.
     OwnedElsewhere,
 }
 
@@ -132,82 +135,83 @@
 }
 
 impl Life<Received> {
-    /// Count it against its account.
+    /// Admit the request and count it against the limit of its account.
     pub fn admit(self) -> Life<Admitted> {
         Life {
             state: Admitted(()),
         }
     }
 
-    /// Refuse it.
+    /// Refuse the request.
     pub fn refuse_not_run(self, refusal: Refusal) -> NotRun {
         NotRun::new(refusal)
     }
 }
 
 impl Life<Admitted> {
-    /// The log shows its claim as the first of its key.
+    /// Advance after the log has shown that the claim of this request is the first of its key.
     pub fn claim(self) -> Life<Claimed> {
         Life { state: Claimed(()) }
     }
 
-    /// Send it to a target. Only for a request that may be repeated.
+    /// Dispatch the request without a claim, which only a repeatable request may do.
     pub fn dispatch(self) -> Life<Dispatched> {
         Life {
             state: Dispatched { claimed: false },
         }
     }
 
-    /// Refuse it.
+    /// Refuse the request.
     pub fn refuse_not_run(self, refusal: Refusal) -> NotRun {
         NotRun::new(refusal)
     }
 }
 
 impl Life<Claimed> {
-    /// Send it to a target.
+    /// Dispatch the request.
     pub fn dispatch(self) -> Life<Dispatched> {
         Life {
             state: Dispatched { claimed: true },
         }
     }
 
-    /// Refuse it; its claim must be released, and this value is gone, so it can't be sent any more.
+    /// Refuse the request. Its claim must be released; since the value is consumed, the request can
+    /// no longer be dispatched.
     pub fn refuse_not_run(self, refusal: Refusal) -> NotRun {
         NotRun::new(refusal)
     }
 }
 
-/// A request taken back from dispatch on proof.
+/// The state a dispatched request reverts to on a [`NeverStarted`] proof.
 #[derive(Debug)]
-pub enum TakenBack {
-    /// It carried no claim.
+pub enum Reverted {
+    /// The request carried no claim.
     Admitted(Life<Admitted>),
-    /// It still owns its claim.
+    /// The request still owns its claim.
     Claimed(Life<Claimed>),
 }
 
 impl Life<Dispatched> {
-    /// Part of the answer reached the caller.
+    /// Advance after part of the answer was delivered to the caller.
     pub fn stream(self) -> Life<Streaming> {
         Life {
             state: Streaming(()),
         }
     }
 
-    /// Go back to before dispatch, on the proof that nothing ran.
-    pub fn never_started(self, _proof: NeverStarted) -> TakenBack {
+    /// Revert to the state before dispatch, given the proof that nothing ran.
+    pub fn never_started(self, _proof: NeverStarted) -> Reverted {
         if self.state.claimed {
-            TakenBack::Claimed(Life { state: Claimed(()) })
+            Reverted::Claimed(Life { state: Claimed(()) })
         } else {
-            TakenBack::Admitted(Life {
+            Reverted::Admitted(Life {
                 state: Admitted(()),
             })
         }
     }
 }
 
-/// The state of a request as its table row stores it.
+/// The state of a request as stored in its table row.
 #[derive(Debug)]
 pub enum State {
     /// See [`Received`].
@@ -222,22 +226,22 @@
     Streaming(Life<Streaming>),
 }
 
-/// What a request can still be told when the router gives it up.
+/// The outcome that can be reported when the router gives up a request.
 #[derive(Debug, PartialEq, Eq)]
 pub enum GivenUp {
-    /// It did not run.
+    /// The request did not run.
     NotRun(NotRun),
-    /// It may have run.
+    /// The request may have run.
     Unknown(Unknown),
 }
 
 impl State {
-    /// Whether a target may have seen a byte of the request.
+    /// Whether a target may have received at least one byte of the request.
     pub fn is_dispatched(&self) -> bool {
         matches!(self, State::Dispatched(_) | State::Streaming(_))
     }
 
-    /// Give the request up: not run where that is certain, else unknown.
+    /// Give up the request: not run if its state proves that, otherwise with an unknown outcome.
     pub fn give_up(self, refusal: Refusal, unknown: Unknown) -> GivenUp {
         match self {
             State::Received(life) => GivenUp::NotRun(life.refuse_not_run(refusal)),
@@ -247,7 +251,7 @@
         }
     }
 
-    /// Send the request to a target; a request already sent stays as it is.
+    /// Dispatch the request. A request that was already dispatched keeps its state.
     pub fn dispatch(self) -> State {
         match self {
             State::Received(life) => State::Dispatched(life.admit().dispatch()),
@@ -257,18 +261,19 @@
         }
     }
 
-    /// Take a dispatched request back on proof; one that streams can't be taken back.
+    /// Revert a dispatched request on a proof that it never started. A streaming request keeps its
+    /// state.
     pub fn never_started(self, proof: NeverStarted) -> State {
         match self {
             State::Dispatched(life) => match life.never_started(proof) {
-                TakenBack::Admitted(life) => State::Admitted(life),
-                TakenBack::Claimed(life) => State::Claimed(life),
+                Reverted::Admitted(life) => State::Admitted(life),
+                Reverted::Claimed(life) => State::Claimed(life),
             },
             other => other,
         }
     }
 
-    /// Part of the answer reached the caller.
+    /// Advance after part of the answer was delivered to the caller.
     pub fn stream(self) -> State {
         match self {
             State::Dispatched(life) => State::Streaming(life.stream()),
--- a/reachtally-core/src/member.rs
+++ b/reachtally-core/src/member.rs
@@ -41,7 +41,7 @@
 }
 
 #[derive(Debug, Clone)]
-struct Known {
+struct PeerState {
     state: MemberState,
     seen_at: Instant,
 }
@@ -51,13 +51,13 @@
 pub struct Members {
     /// This daemon run.
     pub me: MemberState,
-    others: BTreeMap<Incarnation, Known>,
+    others: BTreeMap<Incarnation, PeerState>,
     seeds: Vec<String>,
 }
 
 impl Members {
     /// Whether this daemon takes part.
-    pub fn takes_part(&self) -> bool {
+    pub fn is_gossip_enabled(&self) -> bool {
         !self.me.address.is_empty()
     }
 
@@ -74,7 +74,7 @@
             }
             let known = self.others.get(&state.incarnation);
             if known.is_none_or(|known| known.state.heartbeat < state.heartbeat) {
-                let known = Known {
+                let known = PeerState {
                     seen_at: now,
                     state,
                 };
@@ -84,14 +84,14 @@
     }
 
     /// Forget members that count as gone for long.
-    pub fn forget(&mut self, now: Instant) {
+    pub fn remove_expired(&mut self, now: Instant) {
         self.others
             .retain(|_, known| now.since(known.seen_at) < MEMBER_TIMEOUT * 4);
     }
 
     /// The live members besides this one.
     pub fn live(&self, now: Instant) -> impl Iterator<Item = &MemberState> {
-        let live = move |known: &&Known| now.since(known.seen_at) < MEMBER_TIMEOUT;
+        let live = move |known: &&PeerState| now.since(known.seen_at) < MEMBER_TIMEOUT;
         self.others.values().filter(live).map(|known| &known.state)
     }
 
@@ -104,7 +104,7 @@
     }
 
     /// The lowest configuration offset that any live member serves by, this one included.
-    pub fn lowest_config(&self, now: Instant) -> u64 {
+    pub fn min_config_offset(&self, now: Instant) -> u64 {
         let others = self.live(now).map(|state| state.config_next);
         others.chain([self.me.config_next]).min().unwrap_or(0)
     }
--- a/reachtally-core/src/request.rs
+++ b/reachtally-core/src/request.rs
@@ -8,7 +8,7 @@
 use crate::ids::{AccountKey, CallKey, TargetKey};
 use crate::life::State;
 use crate::lineage::Lineage;
-use crate::restore::KeptInputs;
+use crate::restore::ReplayBuffer;
 use crate::step::Input;
 use crate::time::Instant;
 
@@ -126,7 +126,7 @@
     /// Positions accepted from each stage.
     pub accepted: Vec<u32>,
     /// Inputs kept for each stage; the first stage's are `tokens` and the prompt.
-    pub kept: Vec<KeptInputs>,
+    pub replay_buffers: Vec<ReplayBuffer>,
     /// Positions that the prompt takes, once the first stage told.
     pub prompt_positions: u32,
     /// Tokens generated and accepted.
@@ -134,7 +134,7 @@
     /// Text generated, kept only where the outcome is to be recorded.
     pub text: String,
     /// Tokens handed to the caller's stream and not drained yet.
-    pub undrained: u32,
+    pub unconsumed: u32,
     /// What was accepted.
     pub lineage: Lineage,
     /// Whether it waits for an engine to take a lost stage's place.
@@ -152,7 +152,7 @@
 impl Running {
     /// The position from which inputs must be sent so that KV up to `covered` is continued. The
     /// first stage's prompt can only be sent whole.
-    pub fn restorable_from(&self, stage: usize, covered: u32) -> u32 {
+    pub fn restore_start(&self, stage: usize, covered: u32) -> u32 {
         if stage == 0 && covered < self.prompt_positions {
             0
         } else {
@@ -164,7 +164,7 @@
     /// is 0 or behind the prompt.
     pub fn stage_input(&self, stage: usize, from: u32, end: u32, prompt: &str) -> Option<Input> {
         if stage > 0 {
-            let bytes = self.kept[stage].span(from, end)?;
+            let bytes = self.replay_buffers[stage].span(from, end)?;
             return Some(Input::Activations(Bytes::copy_from_slice(bytes)));
         }
         let text = if from == 0 { prompt } else { "" };
--- a/reachtally-core/src/restore.rs
+++ b/reachtally-core/src/restore.rs
@@ -6,7 +6,7 @@
 
 /// A way of restoring a stage's KV on its replacement.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Way {
+pub enum RestoreMethod {
     /// Export the KV from an engine that still answers, and import it.
     Import,
     /// Send the inputs that a standby has not seen.
@@ -19,11 +19,11 @@
 
 /// What the choice between the ways depends on.
 #[derive(Debug, Clone, Copy)]
-pub struct Estimate<'a> {
+pub struct RestoreCost<'a> {
     /// Positions to restore.
     pub positions: u32,
     /// Bytes of one activation; 0 for the first stage, whose inputs are tokens.
-    pub unit: u32,
+    pub activation_len: u32,
     /// Bytes a second to the replacement.
     pub link_rate: f64,
     /// Step times of the replacement.
@@ -32,11 +32,11 @@
     pub chain: &'a [&'a Latency],
 }
 
-impl Estimate<'_> {
+impl RestoreCost<'_> {
     /// Time to send the stage its own inputs from position `covered` on.
     pub fn replay(&self, covered: u32) -> Duration {
         let positions = self.positions.saturating_sub(covered);
-        let bytes = f64::from(positions) * f64::from(self.unit);
+        let bytes = f64::from(positions) * f64::from(self.activation_len);
         let transfer = Duration::from_secs_f64(bytes / self.link_rate.max(1.0));
         transfer + self.replacement.expected(positions)
     }
@@ -55,20 +55,20 @@
     }
 
     /// The faster way among those possible; `covered` positions need no restore.
-    pub fn choose(&self, replay_possible: bool, covered: u32) -> Way {
+    pub fn choose(&self, replay_possible: bool, covered: u32) -> RestoreMethod {
         if !replay_possible || self.replay(covered) > self.prefill() {
-            Way::Prefill
+            RestoreMethod::Prefill
         } else if covered > 0 {
-            Way::Standby
+            RestoreMethod::Standby
         } else {
-            Way::Replay
+            RestoreMethod::Replay
         }
     }
 }
 
 /// The activations that a stage was sent, kept at the entry box for replay.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub struct KeptInputs {
+pub struct ReplayBuffer {
     bytes: Vec<u8>,
     /// First position kept.
     first: u32,
@@ -77,7 +77,7 @@
     dropped: bool,
 }
 
-impl KeptInputs {
+impl ReplayBuffer {
     /// Keep the activations of the next `positions` positions. Returns the bytes of memory added.
     pub fn push(&mut self, activations: &[u8], positions: u32) -> usize {
         if self.dropped {
@@ -98,7 +98,7 @@
     pub fn drop_below(&mut self, first: u32) -> usize {
         let first = first.clamp(self.first, self.end);
         let before = self.bytes.capacity();
-        let cut = self.unit() as usize * (first - self.first) as usize;
+        let cut = self.activation_len() as usize * (first - self.first) as usize;
         self.bytes.drain(..cut);
         self.bytes.shrink_to_fit();
         self.first = first;
@@ -115,7 +115,7 @@
     /// Start over with nothing kept. Returns the bytes freed.
     pub fn reset(&mut self) -> usize {
         let freed = self.bytes.capacity();
-        *self = KeptInputs::default();
+        *self = ReplayBuffer::default();
         freed
     }
 
@@ -124,14 +124,14 @@
         if self.dropped || from < self.first || self.end < end || end < from {
             return None;
         }
-        let unit = self.unit() as usize;
+        let activation_len = self.activation_len() as usize;
         let (skip, take) = (from - self.first, end - from);
-        let bytes = self.bytes.get(unit * skip as usize..)?;
-        bytes.get(..unit * take as usize)
+        let bytes = self.bytes.get(activation_len * skip as usize..)?;
+        bytes.get(..activation_len * take as usize)
     }
 
     /// Bytes of one activation, 0 while nothing is kept.
-    pub fn unit(&self) -> u32 {
+    pub fn activation_len(&self) -> u32 {
         let positions = (self.end - self.first) as usize;
         self.bytes.len().checked_div(positions).unwrap_or(0) as u32
     }
--- a/reachtally-core/src/retry.rs
+++ b/reachtally-core/src/retry.rs
@@ -1,11 +1,11 @@
 //! The budget that bounds retries to a fraction of what succeeds.
 
 /// Retries allowed for each success.
-const PER_SUCCESS: f64 = 0.1;
+const TOKENS_PER_SUCCESS: f64 = 0.1;
 /// Retries that may be saved up.
-const MOST: f64 = 100.0;
+const MAX_TOKENS: f64 = 100.0;
 /// Retries a new daemon starts with.
-const FIRST: f64 = 10.0;
+const INITIAL_TOKENS: f64 = 10.0;
 
 /// A token bucket that successes fill and retries empty, so that retries can't multiply a failure.
 #[derive(Debug, Clone)]
@@ -15,14 +15,16 @@
 
 impl Default for Budget {
     fn default() -> Self {
-        Budget { tokens: FIRST }
+        Budget {
+            tokens: INITIAL_TOKENS,
+        }
     }
 }
 
 impl Budget {
     /// Count a success.
     pub fn succeeded(&mut self) {
-        self.tokens = (self.tokens + PER_SUCCESS).min(MOST);
+        self.tokens = (self.tokens + TOKENS_PER_SUCCESS).min(MAX_TOKENS);
     }
 
     /// Take one retry; `false` if the budget is spent.
--- a/reachtally-core/src/systems/accept.rs
+++ b/reachtally-core/src/systems/accept.rs
@@ -1,4 +1,5 @@
-//! Taking step results: only the awaited one, then on to the next stage or token.
+//! Process step results returned by engines: accept only the result a request awaits, then advance
+//! the request to its next stage or token.
 
 use bytes::Bytes;
 use slotmap::Key;
@@ -8,16 +9,16 @@
 use crate::life::{NeverStarted, Unknown};
 use crate::lineage::Run;
 use crate::request::{Awaited, Running};
-use crate::restore::KeptInputs;
+use crate::restore::ReplayBuffer;
 use crate::step::{Input, Output, StepRefusal, StepResult};
-use crate::systems::{deliver, finish, shift, standby};
+use crate::systems::{deliver, failover, finish, standby};
 use crate::time::Instant;
-use crate::world::{Call, Purpose, Sent, World};
+use crate::world::{Call, SentStep, StepPurpose, World};
 
-/// Times one request's steps may be refused by engines before it is given up.
-const REFUSALS_MAX: u32 = 8;
+/// Number of times engines may refuse steps of one request before the request is given up.
+const MAX_REFUSALS: u32 = 8;
 
-/// Take the results of one call.
+/// Process the results of one call. Steps of the call without a result count as lost.
 pub fn steps_done(
     world: &mut World,
     call: CallKey,
@@ -29,7 +30,7 @@
         world.counters.results_dropped += results.len() as u64;
         return;
     };
-    sample(world, &done, &results, now);
+    sample_latency(world, &done, &results, now);
     if let Some(sent) = standby_step(&done) {
         standby::answered(world, call, sent, results.first(), now, out);
         return world.mark_dirty(done.target);
@@ -49,19 +50,20 @@
         .filter(|request| awaits_call(world, *request, call))
         .collect();
     for request in unanswered {
-        shift::lost(world, request, now, out);
+        failover::replace_stage(world, request, now, out);
     }
     world.mark_dirty(done.target);
 }
 
-/// The step of a call to a standby, which carries nothing else.
-pub fn standby_step(call: &Call) -> Option<Sent> {
+/// Return the step if `call` went to a standby. Such a call carries no other steps.
+pub fn standby_step(call: &Call) -> Option<SentStep> {
     let sent = *call.steps.first()?;
-    matches!(sent.purpose, Purpose::Standby { .. }).then_some(sent)
+    matches!(sent.purpose, StepPurpose::Standby { .. }).then_some(sent)
 }
 
-/// Time the call by its longest step; only the result tells how many positions a prompt has.
-fn sample(world: &mut World, done: &Call, results: &[StepResult], now: Instant) {
+/// Record the duration of a call as a latency sample for its longest step. The position count of a
+/// prompt is known only from the result.
+fn sample_latency(world: &mut World, done: &Call, results: &[StepResult], now: Instant) {
     let Some(target) = world.targets.get_mut(done.target) else {
         return;
     };
@@ -73,7 +75,7 @@
     }
 }
 
-/// Whether `request` still waits for `call`.
+/// Return whether `request` still awaits `call`.
 pub fn awaits_call(world: &World, request: RequestKey, call: CallKey) -> bool {
     let Some(req) = world.requests.get(request) else {
         return false;
@@ -118,7 +120,7 @@
     out: &mut Effects,
 ) {
     match result.output {
-        Err(refusal) => refused(world, request, refusal, now, out),
+        Err(refusal) => step_refused(world, request, refusal, now, out),
         Ok(Output::Activations(activations)) => {
             let span = (result.from, result.from + result.positions);
             accept_activations(world, request, target, span, activations, now, out);
@@ -130,7 +132,7 @@
     }
 }
 
-fn refused(
+fn step_refused(
     world: &mut World,
     request: RequestKey,
     refusal: StepRefusal,
@@ -139,21 +141,22 @@
 ) {
     let req = &mut world.requests[request];
     req.retries += 1;
-    let exhausted = req.retries > REFUSALS_MAX;
+    let exhausted = req.retries > MAX_REFUSALS;
     match refusal {
-        _ if exhausted => shift::give_up_refused(world, request, out),
-        StepRefusal::Malformed => shift::give_up_refused(world, request, out),
+        _ if exhausted => failover::give_up_refused(world, request, out),
+        StepRefusal::Malformed => failover::give_up_refused(world, request, out),
         StepRefusal::Busy => {
-            shift::never_started(world, request, NeverStarted::TargetSaidSo, now, out);
+            failover::never_started(world, request, NeverStarted::TargetSaidSo, now, out);
         }
         StepRefusal::KvMissing | StepRefusal::StaleAttempt => {
-            shift::restore(world, request, TargetKey::null(), now, out);
+            failover::restore_stage(world, request, TargetKey::null(), now, out);
         }
     }
 }
 
-/// Record the accepted positions of the awaited stage up to `end`; returns the stage.
-fn record(running: &mut Running, target: TargetKey, end: u32) -> Option<usize> {
+/// Record positions up to `end` as accepted for the awaited stage, and return the index of that
+/// stage.
+fn record_accepted(running: &mut Running, target: TargetKey, end: u32) -> Option<usize> {
     let awaited = running.awaited.take()?;
     let stage = awaited.stage;
     running.calls_lost = 0;
@@ -186,15 +189,16 @@
     let Some(running) = world.requests[request].running() else {
         return;
     };
-    let Some(stage) = record(running, target, end) else {
+    let Some(stage) = record_accepted(running, target, end) else {
         return;
     };
     let next = stage + 1;
     if next >= running.chain.len() {
-        // The last stage owes a token; its engine holds another range than it declared.
+        // The last stage must return a token. This engine holds a different layer range than
+        // declared.
         return finish::end_unknown(world, request, Unknown::AnswerLost, out);
     }
-    world.kept_bytes += running.kept[next].push(&activations, end - from);
+    world.kept_bytes += running.replay_buffers[next].push(&activations, end - from);
     running.awaited = Some(Awaited {
         stage: next,
         from,
@@ -204,12 +208,12 @@
         call: None,
     });
     let target = running.chain[next].target;
-    queue(world, request, target, now, out);
-    shed_kept(world, request);
+    queue_step(world, request, target, now, out);
+    shed_replay_buffers(world, request);
 }
 
 /// Queue the awaited step of `request` at `target`.
-pub fn queue(
+pub fn queue_step(
     world: &mut World,
     request: RequestKey,
     target: TargetKey,
@@ -221,13 +225,13 @@
             row.ready.push_back(request);
             world.mark_dirty(target);
         }
-        None => shift::lost(world, request, now, out),
+        None => failover::replace_stage(world, request, now, out),
     }
 }
 
-/// Over the bound on kept inputs, the request that grew gives up first what its standbys cover, then
-/// everything; it can still be restored by prefill.
-fn shed_kept(world: &mut World, request: RequestKey) {
+/// Enforce the limit on replay buffers. The request whose buffer just grew first drops the
+/// positions covered by its standbys, then all positions; it can still be restored by prefill.
+fn shed_replay_buffers(world: &mut World, request: RequestKey) {
     let most = world.limits.replay_bytes;
     if world.kept_bytes <= most {
         return;
@@ -235,14 +239,17 @@
     let Some(running) = world.requests[request].running() else {
         return;
     };
-    let stages = running.kept.iter_mut().zip(&running.standbys);
+    let stages = running.replay_buffers.iter_mut().zip(&running.standbys);
     let covered = stages.map(|(kept, standby)| {
         let covered = standby.as_ref().map_or(0, |standby| standby.covered);
         kept.drop_below(covered)
     });
     let mut freed: usize = covered.sum();
     if world.kept_bytes - freed > most {
-        let all = running.kept.iter_mut().map(KeptInputs::drop_all);
+        let all = running
+            .replay_buffers
+            .iter_mut()
+            .map(ReplayBuffer::drop_all);
         freed += all.sum::<usize>();
     }
     world.kept_bytes -= freed;
@@ -261,7 +268,7 @@
     let Some(running) = req.running() else {
         return;
     };
-    let Some(stage) = record(running, target, end) else {
+    let Some(stage) = record_accepted(running, target, end) else {
         return;
     };
     if stage + 1 != running.chain.len() {
@@ -269,7 +276,7 @@
     }
     let index = running.tokens.len() as u32;
     running.tokens.push(id);
-    running.undrained += 1;
+    running.unconsumed += 1;
     if keep_text {
         running.text.push_str(&text);
     }
@@ -280,6 +287,6 @@
         index,
         text,
     });
-    standby::note_token(world, request);
+    standby::token_accepted(world, request);
     deliver::next_token(world, request, stop, out);
 }
--- a/reachtally-core/src/systems/admit.rs
+++ b/reachtally-core/src/systems/admit.rs
@@ -1,4 +1,4 @@
-//! Admission: who may run what, and whether there is room.
+//! Admission control: permissions, account limits and daemon state.
 
 use std::hash::{DefaultHasher, Hash, Hasher};
 
@@ -12,10 +12,10 @@
 use crate::time::Instant;
 use crate::world::{Timer, World};
 
-/// Judge what a caller asks for; start it, let it wait for its claim, or refuse it.
+/// Check a new request, then start it, queue it for its claim, or refuse it.
 pub fn ask(world: &mut World, ask: Ask, now: Instant, out: &mut Effects) -> RequestKey {
     world.counters.requests_received += 1;
-    let verdict = judge(world, &ask, now);
+    let verdict = check_admission(world, &ask, now);
     let account = verdict.as_ref().copied().unwrap_or_default();
     let repeatable = is_repeatable(world, &ask);
     let life = Life::<Received>::default();
@@ -39,7 +39,7 @@
     world.accounts[account].running += 1;
     world.start_timer(deadline, Timer::Deadline(key));
     match claim_key(world, key) {
-        Some(claim) => claims::enter(world, key, claim, now, out),
+        Some(claim) => claims::submit_keyed(world, key, claim, now, out),
         None => start::start(world, key, now, out),
     }
     key
@@ -60,7 +60,7 @@
     });
 }
 
-fn judge(world: &World, ask: &Ask, now: Instant) -> Result<AccountKey, Refusal> {
+fn check_admission(world: &World, ask: &Ask, now: Instant) -> Result<AccountKey, Refusal> {
     if world.stopping {
         return Err(Refusal::Stopping);
     }
@@ -99,8 +99,8 @@
     Ok(key)
 }
 
-/// Whether the request may run again when its fate is unknown. A service that runs a call once for
-/// each key makes a call with a key repeatable.
+/// Return whether the request may be run again when its outcome is unknown. If the service
+/// deduplicates by idempotency key, a call that carries a key is repeatable.
 fn is_repeatable(world: &World, ask: &Ask) -> bool {
     let Work::Service(call) = &ask.work else {
         return ask.idempotency_key.is_none();
@@ -118,7 +118,7 @@
     }
 }
 
-/// The key to claim, for a request that carries one and may not be repeated.
+/// Return the key to claim for a non-repeatable request that carries an idempotency key.
 fn claim_key(world: &World, key: RequestKey) -> Option<ClaimKey> {
     let req = &world.requests[key];
     if req.repeatable {
@@ -130,7 +130,7 @@
     })
 }
 
-/// Digest of a request's work, to tell another request under the same key.
+/// Hash the contents of a request, to detect a different request under the same idempotency key.
 pub fn digest(work: &Work) -> u64 {
     let mut hasher = DefaultHasher::new();
     match work {
--- a/reachtally-core/src/systems/claims.rs
+++ b/reachtally-core/src/systems/claims.rs
@@ -1,6 +1,6 @@
-//! Requests that may not be repeated: claim, read-back, recorded outcomes.
+//! Non-repeatable requests: claiming a key, reading the claim back, and recording outcomes.
 
-use crate::claim::{ClaimKey, ClaimRecord, Entry, Folded, Recorded};
+use crate::claim::{ClaimChange, ClaimKey, ClaimRecord, Entry, Recorded};
 use crate::effect::{Completed, Effect, Effects, Finish};
 use crate::event::Read;
 use crate::ids::RequestKey;
@@ -10,8 +10,8 @@
 use crate::time::Instant;
 use crate::world::{Timer, World};
 
-/// The claim key of a request that may not be repeated, if it carries a key.
-pub fn key_of(world: &World, req: &Request) -> Option<ClaimKey> {
+/// Return the claim key of a non-repeatable request, if it carries an idempotency key.
+pub fn claim_key(world: &World, req: &Request) -> Option<ClaimKey> {
     if req.repeatable {
         return None;
     }
@@ -22,9 +22,9 @@
     })
 }
 
-/// A request with a key arrives: answer it from the record, attach it to the one that runs, or
-/// claim its key.
-pub fn enter(
+/// Submit a request that carries an idempotency key: answer it from a recorded outcome, attach it
+/// to the request already running under that key, or claim the key.
+pub fn submit_keyed(
     world: &mut World,
     request: RequestKey,
     key: ClaimKey,
@@ -75,7 +75,7 @@
     }
 }
 
-/// The log answered an append.
+/// Handle the log's response to an append.
 pub fn appended(world: &mut World, seq: u64, confirmed: bool) {
     if !confirmed {
         world.counters.claim_answers_lost += 1;
@@ -90,56 +90,58 @@
     for read in records {
         world.claims.expire(read.at_ms.saturating_sub(window));
         for entry in &read.record.entries {
-            let folded = world.claims.fold(read.record.by, read.at_ms, entry);
-            react(world, folded, now, out);
+            let change = world.claims.fold(read.record.by, read.at_ms, entry);
+            apply_change(world, change, now, out);
         }
     }
 }
 
-/// The log has come back from an older copy. No key is taken until every claim of the window is known again, and what waits for a
-/// claim of its own is refused: the first claim of a key in the log may not be the first that was acted on.
+/// Handle a log that was restored from an older copy. Refuse new keyed requests until every claim
+/// of the window is known again, and refuse those waiting for their own claim: the first claim of a
+/// key in the restored log may not be the first one that was acted on.
 pub fn returned(world: &mut World, out: &mut Effects) {
     world.claims_ready = false;
     for request in world.waiting.requests() {
-        wait_over(world, request, out);
+        claim_wait_expired(world, request, out);
     }
 }
 
-fn react(world: &mut World, folded: Folded, now: Instant, out: &mut Effects) {
-    match folded {
-        Folded::Owned(key) => owned(world, &key, now, out),
-        Folded::Released(key) => released(world, &key),
-        Folded::Ended(key) => {
+fn apply_change(world: &mut World, change: ClaimChange, now: Instant, out: &mut Effects) {
+    match change {
+        ClaimChange::Owned(key) => key_owned(world, &key, now, out),
+        ClaimChange::Released(key) => key_released(world, &key),
+        ClaimChange::Ended(key) => {
             if let Some(outcome) = world
                 .claims
                 .get(&key)
                 .and_then(|claim| claim.outcome.clone())
             {
-                answer_followers(world, &key, &outcome, out);
+                answer_waiting(world, &key, &outcome, out);
             }
         }
-        Folded::Nothing => {}
+        ClaimChange::Unchanged => {}
     }
 }
 
-/// A key is owned now: by us, so the first request that waits runs; or by another daemon run.
-fn owned(world: &mut World, key: &ClaimKey, now: Instant, out: &mut Effects) {
+/// Handle a newly claimed key: if this daemon run owns it, run the first waiting request; if
+/// another run owns it, refuse waiting requests with a different body.
+fn key_owned(world: &mut World, key: &ClaimKey, now: Instant, out: &mut Effects) {
     let Some(claim) = world.claims.get(key) else {
         return;
     };
     let digest = claim.digest;
     if claim.owner != world.incarnation {
-        return refuse_other_bodies(world, key, digest, out);
+        return refuse_mismatched(world, key, digest, out);
     }
     match world.waiting.first(key) {
         Some(request) if admit::digest(&world.requests[request].work) == digest => {
-            run(world, request, now, out);
+            run_claimed(world, request, now, out);
         }
         _ => world.outbox.push(Entry::Release { key: key.clone() }),
     }
 }
 
-fn run(world: &mut World, request: RequestKey, now: Instant, out: &mut Effects) {
+fn run_claimed(world: &mut World, request: RequestKey, now: Instant, out: &mut Effects) {
     let req = &mut world.requests[request];
     req.state = req.state.take().map(|state| match state {
         State::Admitted(life) => State::Claimed(life.claim()),
@@ -148,7 +150,7 @@
     start::start(world, request, now, out);
 }
 
-fn refuse_other_bodies(world: &mut World, key: &ClaimKey, digest: u64, out: &mut Effects) {
+fn refuse_mismatched(world: &mut World, key: &ClaimKey, digest: u64, out: &mut Effects) {
     for request in world.waiting.all(key) {
         if admit::digest(&world.requests[request].work) != digest {
             let refusal = Refusal::KeyReused;
@@ -157,8 +159,8 @@
     }
 }
 
-/// A key was given back: a request that waits for it may claim it anew.
-fn released(world: &mut World, key: &ClaimKey) {
+/// Handle a released key: the first waiting request claims it again.
+fn key_released(world: &mut World, key: &ClaimKey) {
     let Some(request) = world.waiting.first(key) else {
         return;
     };
@@ -169,14 +171,14 @@
     });
 }
 
-/// The owning request ended without having run: give the key back. Requests that wait for the same
-/// key claim it anew once the release is folded.
-pub fn hand_on(world: &mut World, key: &ClaimKey) {
+/// Release the key of a request that ended without running. Requests waiting for the same key claim
+/// it again once the release has been folded.
+pub fn release_claim(world: &mut World, key: &ClaimKey) {
     world.outbox.push(Entry::Release { key: key.clone() });
 }
 
-/// Give a recorded outcome to every request that waits for the key.
-pub fn answer_followers(world: &mut World, key: &ClaimKey, outcome: &Recorded, out: &mut Effects) {
+/// Answer every request that waits for the key with the recorded outcome.
+pub fn answer_waiting(world: &mut World, key: &ClaimKey, outcome: &Recorded, out: &mut Effects) {
     for request in world.waiting.take(key) {
         let ours = world
             .requests
@@ -205,16 +207,16 @@
     finish::finish(world, request, end, out);
 }
 
-/// A request has waited long enough for its claim. While the log shows no owner it did not run;
-/// under another owner its outcome is unknown.
-pub fn wait_over(world: &mut World, request: RequestKey, out: &mut Effects) {
+/// Handle a request whose wait for its claim timed out. If the log shows no owner, the request did
+/// not run; if another run owns the key, the outcome is unknown.
+pub fn claim_wait_expired(world: &mut World, request: RequestKey, out: &mut Effects) {
     let Some(req) = world.requests.get(request) else {
         return;
     };
     if req.is_dispatched() {
         return;
     }
-    let Some(key) = key_of(world, req) else {
+    let Some(key) = claim_key(world, req) else {
         return;
     };
     if world.claims.get(&key).is_some() {
--- a/reachtally-core/src/systems/configure.rs
+++ b/reachtally-core/src/systems/configure.rs
@@ -1,4 +1,4 @@
-//! Folding configuration records and the live list into the tables.
+//! Apply configuration records and the live list of boxes to the tables.
 
 use std::collections::BTreeMap;
 
@@ -8,12 +8,12 @@
 use crate::event::{BoxSeen, Read};
 use crate::fold::{Config, Operation, Verdict};
 use crate::ids::TargetKey;
-use crate::systems::{gossip, shift};
+use crate::systems::{failover, gossip};
 use crate::target::{Role, Target};
 use crate::time::Instant;
 use crate::world::{Account, World};
 
-/// Fold configuration records, then bring the tables in line once.
+/// Fold configuration records, then reconcile the tables once for the whole batch.
 pub fn read(world: &mut World, records: &[Read<Operation>], now: Instant, out: &mut Effects) {
     let mut changed = false;
     let mut folded = Vec::new();
@@ -44,37 +44,38 @@
         snapshot_if_due(world, now, out);
     }
     if changed {
-        align(world);
-        shift::retry_parked(world, now, out);
+        reconcile(world);
+        failover::retry_parked(world, now, out);
     }
 }
 
-/// Take over a whole configuration, if it is further than the one in force.
+/// Replace the configuration with `config` if `config` has folded more records.
 pub fn adopt(world: &mut World, config: Config, now: Instant, out: &mut Effects) {
     if world.config.adopt(config) {
-        world.recent.clear();
-        world.snapshot_next = world.config.next();
-        align(world);
-        shift::retry_parked(world, now, out);
+        world.recent_records.clear();
+        world.last_snapshot_offset = world.config.next();
+        reconcile(world);
+        failover::retry_parked(world, now, out);
     }
 }
 
-/// Records folded between two snapshots. Far fewer than the log keeps.
-pub const SNAPSHOT_EVERY: u64 = 200;
+/// Number of folded records between two snapshots; far lower than the number of records the log
+/// retains.
+pub const SNAPSHOT_INTERVAL: u64 = 200;
 
-/// The first in rank of each failure domain writes snapshots. They are a function of the records, so
-/// that several domains write the same does no harm.
+/// Write a snapshot if one is due and this daemon ranks first in its failure domain. Snapshots
+/// depend only on the records, so several domains may write the same one.
 fn snapshot_if_due(world: &mut World, now: Instant, out: &mut Effects) {
     let next = world.config.next();
-    let due = next >= world.snapshot_next + SNAPSHOT_EVERY;
+    let due = next >= world.last_snapshot_offset + SNAPSHOT_INTERVAL;
     if due && world.members.rank("snapshot", now) == 0 {
         out.push(Effect::WriteSnapshot(Box::new(world.config.clone())));
-        world.snapshot_next = next;
+        world.last_snapshot_offset = next;
     }
 }
 
-/// Take the live list's word on the boxes. A box that is missing counts as leaving: it gets no new
-/// work, and what runs there goes on until a call fails.
+/// Apply the live list of boxes. A box missing from the list counts as leaving: it receives no new
+/// work, and requests running there continue until a call fails.
 pub fn list_read(world: &mut World, boxes: &[BoxSeen], now: Instant, out: &mut Effects) {
     let own = &world.members.me.domain;
     let peers = boxes.iter().filter_map(|seen| seen.peer.as_ref());
@@ -88,7 +89,7 @@
     for (_, target) in &mut world.targets {
         target.leaving = is_leaving(world.boxes.as_ref(), &target.box_name);
     }
-    shift::retry_parked(world, now, out);
+    failover::retry_parked(world, now, out);
 }
 
 fn is_leaving(boxes: Option<&BTreeMap<String, bool>>, name: &str) -> bool {
@@ -98,10 +99,10 @@
     boxes.is_some_and(|boxes| boxes.get(name).copied().unwrap_or(true))
 }
 
-fn align(world: &mut World) {
-    align_targets(world);
-    align_accounts(world);
-    index(world);
+fn reconcile(world: &mut World) {
+    reconcile_targets(world);
+    reconcile_accounts(world);
+    rebuild_indexes(world);
 }
 
 fn declared_targets(world: &World) -> BTreeMap<String, (Target, bool)> {
@@ -135,9 +136,10 @@
     declared
 }
 
-/// Add, change and remove rows of targets. A row is replaced when the target's address or role
-/// changed; requests on the old row then move as if it had died.
-fn align_targets(world: &mut World) {
+/// Insert, update and remove target rows to match the declared configuration. A row is replaced
+/// when the address, role or box of the target changed; requests on the old row then fail over as
+/// if the target had died.
+fn reconcile_targets(world: &mut World) {
     let declared = declared_targets(world);
     let gone: Vec<(String, TargetKey)> = world
         .target_by_name
@@ -168,7 +170,7 @@
     })
 }
 
-fn align_accounts(world: &mut World) {
+fn reconcile_accounts(world: &mut World) {
     let declared: Vec<crate::declare::Account> = world
         .config
         .of(Kind::Account)
@@ -200,8 +202,8 @@
     }
 }
 
-/// Rebuild the groups of engines by model, and the lists of instances by service.
-fn index(world: &mut World) {
+/// Rebuild the engine groups of each model and the instance list of each service.
+fn rebuild_indexes(world: &mut World) {
     let mut engines: BTreeMap<String, Vec<TargetKey>> = BTreeMap::new();
     world.instances.clear();
     for key in world.target_by_name.values() {
--- a/reachtally-core/src/systems/deliver.rs
+++ b/reachtally-core/src/systems/deliver.rs
@@ -1,4 +1,5 @@
-//! After a token: the next position, the end, or a pause while the caller's stream is full.
+//! Continue a request after a token: run the next position, finish, or pause while the buffer to
+//! the caller is full.
 
 use crate::effect::{Completed, CompletionEnd, Effects, Finish};
 use crate::ids::RequestKey;
@@ -7,7 +8,7 @@
 use crate::systems::finish;
 use crate::world::World;
 
-/// Go on after a token was delivered; `stop` if the model ended its answer.
+/// Continue after a token was delivered. `stop` is set if the model ended its answer.
 pub fn next_token(world: &mut World, request: RequestKey, stop: bool, out: &mut Effects) {
     let req = &world.requests[request];
     let Progress::Running(running) = &req.progress else {
@@ -20,20 +21,20 @@
     if stop || running.tokens.len() as u32 >= max {
         return complete(world, request, stop, out);
     }
-    if running.undrained < world.limits.caller_window {
+    if running.unconsumed < world.limits.caller_window {
         continue_at_first_stage(world, request);
     }
 }
 
-/// The caller's stream took tokens; a request that paused for it goes on.
-pub fn drained(world: &mut World, request: RequestKey, tokens: u32) {
+/// Handle tokens consumed by the caller, and resume the request if it was paused by backpressure.
+pub fn consumed(world: &mut World, request: RequestKey, tokens: u32) {
     let window = world.limits.caller_window;
     let Some(running) = world.running(request) else {
         return;
     };
-    running.undrained = running.undrained.saturating_sub(tokens);
+    running.unconsumed = running.unconsumed.saturating_sub(tokens);
     let paused = running.awaited.is_none() && !running.tokens.is_empty();
-    if paused && running.undrained < window {
+    if paused && running.unconsumed < window {
         continue_at_first_stage(world, request);
     }
 }
--- a/reachtally-core/src/systems/dispatch.rs
+++ b/reachtally-core/src/systems/dispatch.rs
@@ -1,14 +1,14 @@
-//! Sending the steps that are ready, those of one engine together.
+//! Send ready steps to engines, batching the steps of each engine.
 
 use crate::effect::{Effect, Effects};
 use crate::ids::{CallKey, RequestId, RequestKey, TargetKey};
 use crate::step::{Batch, Input, Step};
-use crate::systems::{relocate, shift};
+use crate::systems::{failover, relocate};
 use crate::target::Health;
 use crate::time::Instant;
-use crate::world::{Call, Load, Purpose, Sent, Timer, World};
+use crate::world::{Call, Load, SentStep, StepPurpose, Timer, World};
 
-/// Send to every engine that something became ready for.
+/// Dispatch for every target marked dirty.
 pub fn run(world: &mut World, now: Instant, out: &mut Effects) {
     while let Some(key) = world.dirty.pop() {
         let Some(target) = world.targets.get_mut(key) else {
@@ -23,23 +23,23 @@
     }
 }
 
-/// Move the requests whose next step waits for a suspected engine.
+/// Fail over the requests whose next step is queued at a suspected engine.
 fn move_ready(world: &mut World, key: TargetKey, now: Instant, out: &mut Effects) {
     let ready = std::mem::take(&mut world.targets[key].ready);
     for request in ready {
-        shift::lost(world, request, now, out);
+        failover::replace_stage(world, request, now, out);
     }
 }
 
-/// Send what is ready. A span goes in a call of its own, so that no token waits for another
-/// request's prompt; single positions share calls. Of each kind a bounded number of calls is
-/// outstanding; what becomes ready meanwhile waits and goes together.
+/// Send the queued steps. A span gets a call of its own so that single-token steps do not wait for
+/// another request's prompt; single positions share calls. The number of outstanding calls of each
+/// kind is bounded, and steps that become ready meanwhile wait and are batched.
 fn send_ready(world: &mut World, key: TargetKey, now: Instant, out: &mut Effects) {
     let ready = std::mem::take(&mut world.targets[key].ready);
     let mut singles = Vec::new();
     let mut waiting = Vec::new();
     for request in ready {
-        if relocate::begin(world, request, key, now, out) {
+        if relocate::try_start(world, request, key, now, out) {
             continue;
         }
         match awaited_positions(world, request, key) {
@@ -103,12 +103,12 @@
     for &request in requests {
         if let Some(step) = take_step(world, request, call) {
             let positions = step.positions;
-            world.calls[call].steps.push(Sent {
+            world.calls[call].steps.push(SentStep {
                 request,
                 positions,
-                purpose: Purpose::Forward,
+                purpose: StepPurpose::Forward,
             });
-            span = span.max(most_positions(&step));
+            span = span.max(max_positions(&step));
             batch.steps.push(step);
         }
     }
@@ -125,7 +125,7 @@
     });
 }
 
-/// The step that `request` awaits.
+/// Take the awaited step of `request` and assign it to `call`.
 fn take_step(world: &mut World, request: RequestKey, call: CallKey) -> Option<Step> {
     let id = RequestId::new(world.incarnation, request);
     let running = world.requests.get_mut(request)?.running()?;
@@ -148,8 +148,9 @@
     })
 }
 
-/// The most positions a step can take: a prompt's text has at most one for each byte.
-fn most_positions(step: &Step) -> u32 {
+/// Return an upper bound on the positions of a step: a prompt has at most one position for each
+/// byte of text.
+fn max_positions(step: &Step) -> u32 {
     match &step.input {
         Input::Tokens { text, tokens } if step.positions == 0 => (text.len() + tokens.len()) as u32,
         _ => step.positions,
--- a/reachtally-core/src/systems/shift.rs
+++ b/reachtally-core/src/systems/failover.rs
@@ -1,4 +1,4 @@
-//! Moving a running request off a lost stage, and restoring that stage's KV.
+//! Failover of running requests from a lost stage, and restoring the KV of that stage.
 
 use slotmap::Key;
 
@@ -9,18 +9,20 @@
 use crate::latency::Latency;
 use crate::life::{NeverStarted, Refusal, Unknown};
 use crate::request::{Awaited, Progress, Running, Standby, Work};
-use crate::restore::{Estimate, Way};
+use crate::restore::{RestoreCost, RestoreMethod};
 use crate::step::Release;
 use crate::systems::{accept, finish, health, standby, start};
 use crate::target::Target;
 use crate::time::Instant;
 use crate::world::{Timer, World};
 
-/// Engines that may be lost in a row under one step of a request. Guards the others, and what runs there, from a request that crashes
-/// whatever runs it; a step that is lost at three for other reasons is rare.
-const CALLS_LOST_MAX: u32 = 3;
+/// Maximum number of engines that may be lost in a row under one step of a request. Protects the
+/// remaining engines, and the requests running there, from a request that crashes every engine it
+/// runs on; losing three engines under one step for other reasons is rare.
+const MAX_CALLS_LOST: u32 = 3;
 
-/// A call to an engine failed: suspect the engine, and move the requests that waited for the call.
+/// Handle a failed call to an engine: suspect the engine and fail over the requests that awaited
+/// the call.
 pub fn call_failed(
     world: &mut World,
     call: CallKey,
@@ -53,8 +55,8 @@
     world.mark_dirty(failed.target);
 }
 
-/// The awaited step never started. If nothing of the request ever ran it starts anew on another
-/// chain, or is refused as not run; else its stage moves.
+/// Handle an awaited step that never started. If no step of the request has run, restart it on
+/// another chain or refuse it as not run; otherwise fail over its stage.
 pub fn never_started(
     world: &mut World,
     request: RequestKey,
@@ -69,28 +71,29 @@
         .running()
         .is_some_and(|running| running.attempt == 1 && running.accepted.iter().all(|n| *n == 0));
     if !untouched {
-        return lost(world, request, now, out);
+        return replace_stage(world, request, now, out);
     }
     req.state = req.state.take().map(|state| state.never_started(proof));
-    finish::leave_targets(world, request);
+    finish::detach_from_targets(world, request);
     start::start(world, request, now, out);
 }
 
-/// The call that carried the awaited step is lost. The request may be why engines end, so it gets only so many of them for one step.
+/// Handle the loss of the call that carried the awaited step. The request itself may be crashing
+/// engines, so the number of calls lost in a row is limited.
 fn call_lost(world: &mut World, request: RequestKey, now: Instant, out: &mut Effects) {
     let Some(running) = world.running(request) else {
         return;
     };
     running.calls_lost += 1;
-    if running.calls_lost >= CALLS_LOST_MAX {
+    if running.calls_lost >= MAX_CALLS_LOST {
         world.counters.requests_engines_lost += 1;
         return finish::end_unknown(world, request, Unknown::EnginesLost, out);
     }
-    lost(world, request, now, out);
+    replace_stage(world, request, now, out);
 }
 
-/// The awaited step is lost: another engine takes the stage.
-pub fn lost(world: &mut World, request: RequestKey, now: Instant, out: &mut Effects) {
+/// Handle the loss of the awaited step by moving its stage to another engine.
+pub fn replace_stage(world: &mut World, request: RequestKey, now: Instant, out: &mut Effects) {
     let Some(running) = world.running(request) else {
         return;
     };
@@ -98,12 +101,12 @@
         return;
     };
     let not = running.chain[stage].target;
-    restore(world, request, not, now, out);
+    restore_stage(world, request, not, now, out);
 }
 
-/// Put the awaited stage on the best engine other than `not` and restore its KV there; wait for an
-/// engine if none can take it.
-pub fn restore(
+/// Move the awaited stage to the best engine other than `not` and restore its KV there. If no
+/// engine is available, park the request.
+pub fn restore_stage(
     world: &mut World,
     request: RequestKey,
     not: TargetKey,
@@ -122,15 +125,15 @@
     let layers = running.chain[stage].layers;
     let groups = chain::groups_of(&world.engines, &running.model);
     if let Some(standby) = usable_standby(world, running, stage, not) {
-        return take_standby(world, request, stage, &standby, now, out);
+        return switch_to_standby(world, request, stage, &standby, now, out);
     }
     match chain::replacement(groups, &world.targets, layers, not, &mut world.rng) {
-        Some(target) => place(world, request, stage, target, Prepared::NOT, now, out),
+        Some(target) => place_stage(world, request, stage, target, KvCoverage::NONE, now, out),
         None => park(world, request, now),
     }
 }
 
-/// The stage's standby, if it takes work and has begun to follow.
+/// Return the standby of the stage if it takes work and has begun to replicate.
 fn usable_standby(
     world: &World,
     running: &Running,
@@ -146,9 +149,9 @@
         .then_some(standby)
 }
 
-/// Put the stage on its standby. While a span is on its way there the standby's KV is not known, so
-/// the request waits for that answer; the call has a time-out of its own.
-fn take_standby(
+/// Move the stage to its standby. While a span to the standby is in flight, the extent of its KV is
+/// unknown, so the request waits for the response; that call has its own time-out.
+fn switch_to_standby(
     world: &mut World,
     request: RequestKey,
     stage: usize,
@@ -169,11 +172,11 @@
     }
     running.standbys[stage] = None;
     world.targets[standby.target].running -= 1;
-    let prepared = Prepared {
+    let kv = KvCoverage {
         covered: standby.covered,
-        way: Way::Standby,
+        method: RestoreMethod::Standby,
     };
-    place(world, request, stage, standby.target, prepared, now, out);
+    place_stage(world, request, stage, standby.target, kv, now, out);
 }
 
 fn park(world: &mut World, request: RequestKey, now: Instant) {
@@ -193,59 +196,59 @@
     world.start_timer(deadline, Timer::Replacement(request));
 }
 
-/// Try again to place every request that waits for an engine.
+/// Retry placing every parked request.
 pub fn retry_parked(world: &mut World, now: Instant, out: &mut Effects) {
     for request in std::mem::take(&mut world.parked) {
         let Some(running) = world.running(request) else {
             continue;
         };
         running.parked = false;
-        restore(world, request, TargetKey::null(), now, out);
+        restore_stage(world, request, TargetKey::null(), now, out);
     }
 }
 
-/// A parked request has waited long enough.
-pub fn replacement_wait_over(world: &mut World, request: RequestKey, out: &mut Effects) {
+/// End a request that stayed parked until its replacement wait expired.
+pub fn replacement_wait_expired(world: &mut World, request: RequestKey, out: &mut Effects) {
     let parked = world.running(request).is_some_and(|running| running.parked);
     if parked {
         finish::end_unknown(world, request, Unknown::NoReplacement, out);
     }
 }
 
-/// Engines refused the request's steps too often, or for good.
+/// Give up a request whose steps were refused too often or as malformed.
 pub fn give_up_refused(world: &mut World, request: RequestKey, out: &mut Effects) {
     let refusal = Refusal::NeverStarted;
     finish::give_up(world, request, refusal, Unknown::NoReplacement, out);
 }
 
-/// What the engine that takes a stage holds of it already.
+/// KV that the engine taking over a stage already holds.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Prepared {
-    /// Positions that its KV covers.
+pub struct KvCoverage {
+    /// Number of positions covered.
     pub covered: u32,
-    /// How it came by them.
-    pub way: Way,
+    /// The method by which the KV got there.
+    pub method: RestoreMethod,
 }
 
-impl Prepared {
-    /// Nothing.
-    pub const NOT: Prepared = Prepared {
+impl KvCoverage {
+    /// No KV.
+    pub const NONE: KvCoverage = KvCoverage {
         covered: 0,
-        way: Way::Replay,
+        method: RestoreMethod::Replay,
     };
 }
 
-/// Put a stage on `target` and await its step there.
-pub fn place(
+/// Place a stage on `target` and await its step there.
+pub fn place_stage(
     world: &mut World,
     request: RequestKey,
     stage: usize,
     target: TargetKey,
-    prepared: Prepared,
+    kv: KvCoverage,
     now: Instant,
     out: &mut Effects,
 ) {
-    let way = choose_way(world, request, stage, target, prepared);
+    let way = choose_method(world, request, stage, target, kv);
     let id = RequestId::new(world.incarnation, request);
     let Some(running) = world.requests[request].running() else {
         return;
@@ -257,18 +260,18 @@
     };
     running.attempt += 1;
     let (awaited, freed) = match way {
-        Way::Standby | Way::Import => (replay(running, stage, prepared.covered), 0),
-        Way::Replay => (replay(running, stage, 0), 0),
-        Way::Prefill => prefill(running),
+        RestoreMethod::Standby | RestoreMethod::Import => (replay(running, stage, kv.covered), 0),
+        RestoreMethod::Replay => (replay(running, stage, 0), 0),
+        RestoreMethod::Prefill => prefill(running),
     };
     let first = awaited.stage;
     let position = running.accepted[stage];
     running.awaited = Some(awaited);
     world.kept_bytes -= freed;
     fill_input(world, request, way);
-    count(world, way);
-    move_running(world, old, target, release);
-    let (from, to) = (name(world, old), name(world, target));
+    count_restore(world, way);
+    move_request(world, old, target, release);
+    let (from, to) = (target_name(world, old), target_name(world, target));
     out.push(Effect::Changed(Change::StageShifted {
         request,
         from,
@@ -278,51 +281,51 @@
     }));
     if let Some(running) = world.requests[request].running() {
         let target = running.chain[first].target;
-        accept::queue(world, request, target, now, out);
+        accept::queue_step(world, request, target, now, out);
     }
 }
 
-fn count(world: &mut World, way: Way) {
+fn count_restore(world: &mut World, method: RestoreMethod) {
     world.counters.stages_shifted += 1;
-    match way {
-        Way::Import => world.counters.restored_by_import += 1,
-        Way::Standby => world.counters.restored_from_standby += 1,
-        Way::Replay => world.counters.restored_by_replay += 1,
-        Way::Prefill => world.counters.restored_by_prefill += 1,
+    match method {
+        RestoreMethod::Import => world.counters.restored_by_import += 1,
+        RestoreMethod::Standby => world.counters.restored_from_standby += 1,
+        RestoreMethod::Replay => world.counters.restored_by_replay += 1,
+        RestoreMethod::Prefill => world.counters.restored_by_prefill += 1,
     }
 }
 
-fn name(world: &World, target: TargetKey) -> String {
+fn target_name(world: &World, target: TargetKey) -> String {
     world
         .targets
         .get(target)
         .map_or_else(String::new, |target| target.name.clone())
 }
 
-fn move_running(world: &mut World, old: TargetKey, new: TargetKey, release: Release) {
+fn move_request(world: &mut World, old: TargetKey, new: TargetKey, release: Release) {
     if old == new {
         return;
     }
-    finish::leave_stage(world, old, release);
+    finish::release_stage(world, old, release);
     world.targets[new].running += 1;
 }
 
-fn choose_way(
+fn choose_method(
     world: &World,
     request: RequestKey,
     stage: usize,
     target: TargetKey,
-    prepared: Prepared,
-) -> Way {
+    kv: KvCoverage,
+) -> RestoreMethod {
     let Progress::Running(running) = &world.requests[request].progress else {
-        return Way::Prefill;
+        return RestoreMethod::Prefill;
     };
     let Some(awaited) = &running.awaited else {
-        return Way::Prefill;
+        return RestoreMethod::Prefill;
     };
     let end = awaited.from + awaited.positions;
-    let from = running.restorable_from(stage, prepared.covered);
-    let possible = stage == 0 || running.kept[stage].span(from, end).is_some();
+    let from = running.restore_start(stage, kv.covered);
+    let possible = stage == 0 || running.replay_buffers[stage].span(from, end).is_some();
     let replacement = &world.targets[target].latency;
     let chain: Vec<&Latency> = running
         .chain
@@ -332,26 +335,26 @@
         .filter_map(|key| world.targets.get(key))
         .map(|row| &row.latency)
         .collect();
-    let estimate = Estimate {
+    let estimate = RestoreCost {
         positions: end,
-        unit: running.kept[stage].unit(),
+        activation_len: running.replay_buffers[stage].activation_len(),
         link_rate: world.limits.link_rate,
         replacement,
         chain: &chain,
     };
-    match estimate.choose(possible, prepared.covered) {
-        Way::Standby => prepared.way,
-        way => way,
+    match estimate.choose(possible, kv.covered) {
+        RestoreMethod::Standby => kv.method,
+        method => method,
     }
 }
 
-/// Await the same span again, from a position such that the KV before it is rebuilt; `covered`
-/// positions are there already.
+/// Await the same span again, starting early enough to rebuild the KV before it, of which `covered`
+/// positions are already present.
 fn replay(running: &Running, stage: usize, covered: u32) -> Awaited {
     let awaited = running.awaited.as_ref();
     let (from, positions) = awaited.map_or((0, 0), |awaited| (awaited.from, awaited.positions));
     let outputs_from = awaited.map_or(0, |awaited| awaited.outputs_from);
-    let restore_from = running.restorable_from(stage, covered);
+    let restore_from = running.restore_start(stage, covered);
     Awaited {
         stage,
         from: restore_from,
@@ -365,9 +368,14 @@
     }
 }
 
-/// Await all positions so far from the first stage on. Returns the bytes of kept inputs freed.
+/// Await all positions so far, starting at the first stage. Return the number of replay buffer
+/// bytes freed.
 fn prefill(running: &mut Running) -> (Awaited, usize) {
-    let freed = running.kept.iter_mut().map(|kept| kept.reset()).sum();
+    let freed = running
+        .replay_buffers
+        .iter_mut()
+        .map(|kept| kept.reset())
+        .sum();
     let tokens = running.tokens.len() as u32;
     let awaited = Awaited {
         stage: 0,
@@ -383,8 +391,8 @@
     (awaited, freed)
 }
 
-/// Give the awaited step its input from what is kept.
-fn fill_input(world: &mut World, request: RequestKey, way: Way) {
+/// Set the input of the awaited step from the replay buffers, or from the prompt and tokens.
+fn fill_input(world: &mut World, request: RequestKey, method: RestoreMethod) {
     let req = &mut world.requests[request];
     let prompt = match &req.work {
         Work::Completion(completion) => completion.prompt.clone(),
@@ -403,7 +411,7 @@
         return;
     };
     let input = running.stage_input(stage, from, end, &prompt);
-    debug_assert!(input.is_some() || way == Way::Prefill);
+    debug_assert!(input.is_some() || method == RestoreMethod::Prefill);
     if let Some(awaited) = &mut running.awaited {
         awaited.input = input;
     }
--- a/reachtally-core/src/systems/finish.rs
+++ b/reachtally-core/src/systems/finish.rs
@@ -1,23 +1,24 @@
-//! Ends of requests: the final answer, and the clean-up of every table.
+//! End requests: send the final answer and remove the request from every table.
 
 use crate::claim::{Entry, Recorded};
 use crate::effect::{Completed, Effect, Effects, Finish};
 use crate::ids::{RequestId, RequestKey, TargetKey};
 use crate::life::{GivenUp, Refusal, Unknown};
 use crate::request::{Answer, Progress, Request, Running};
-use crate::restore::KeptInputs;
+use crate::restore::ReplayBuffer;
 use crate::step::Release;
 use crate::systems::claims;
 use crate::world::World;
 
-/// The caller hung up: its steps are cancelled on every stage.
-pub fn hung_up(world: &mut World, request: RequestKey, out: &mut Effects) {
+/// Handle a caller's disconnect: abandon the request and cancel its steps on every stage.
+pub fn disconnected(world: &mut World, request: RequestKey, out: &mut Effects) {
     if world.requests.contains_key(request) {
         finish(world, request, Finish::Abandoned, out);
     }
 }
 
-/// Give a request up: not run where its state proves that, else unknown.
+/// Give up a request: refused as not run if its state proves that, otherwise with an unknown
+/// outcome.
 pub fn give_up(
     world: &mut World,
     request: RequestKey,
@@ -43,9 +44,9 @@
     finish(world, request, Finish::Unknown(unknown), out);
 }
 
-/// Take a request out of every table and give its caller the final answer.
+/// Remove a request from every table and send its caller the final answer.
 pub fn finish(world: &mut World, request: RequestKey, end: Finish, out: &mut Effects) {
-    let left = leave_targets(world, request);
+    let left = detach_from_targets(world, request);
     let Some(req) = world.requests.remove(request) else {
         return;
     };
@@ -73,7 +74,8 @@
     }
 }
 
-/// Record the outcome of a request that owns its claim, or release the claim if it never ran.
+/// Record the outcome of a request that owns its claim, or release the claim if the request never
+/// ran.
 fn settle_claim(
     world: &mut World,
     request: RequestKey,
@@ -82,7 +84,7 @@
     end: &Finish,
     out: &mut Effects,
 ) {
-    let Some(key) = claims::key_of(world, req) else {
+    let Some(key) = claims::claim_key(world, req) else {
         return;
     };
     let was_first = world.waiting.first(&key) == Some(request);
@@ -100,13 +102,14 @@
                 key: key.clone(),
                 outcome: outcome.clone(),
             });
-            claims::answer_followers(world, &key, &outcome, out);
+            claims::answer_waiting(world, &key, &outcome, out);
         }
-        None => claims::hand_on(world, &key),
+        None => claims::release_claim(world, &key),
     }
 }
 
-/// What to record of a request's end, with the text of a completion; nothing if it never ran.
+/// Return the outcome to record, where `text` is the text of a completion, or `None` if the request
+/// never ran.
 fn outcome(req: &Request, text: Option<String>, end: &Finish) -> Option<Recorded> {
     match end {
         Finish::NotRun(_) => None,
@@ -123,9 +126,9 @@
     }
 }
 
-/// Take a request off its targets, so that it waits for dispatch again or ends. Engines are told to
-/// forget it. Yields the run that was left.
-pub fn leave_targets(world: &mut World, request: RequestKey) -> Option<Box<Running>> {
+/// Detach a request from its targets, either to dispatch it again or to end it. Its engines are
+/// told to release its KV. Return the run it was detached from, if it was running.
+pub fn detach_from_targets(world: &mut World, request: RequestKey) -> Option<Box<Running>> {
     let id = RequestId::new(world.incarnation, request);
     let req = world.requests.get_mut(request)?;
     match std::mem::replace(&mut req.progress, Progress::Waiting) {
@@ -138,9 +141,9 @@
         }
         Progress::Running(mut running) => {
             world.kept_bytes -= running
-                .kept
+                .replay_buffers
                 .iter_mut()
-                .map(KeptInputs::reset)
+                .map(ReplayBuffer::reset)
                 .sum::<usize>();
             let release = Release {
                 request: id,
@@ -159,15 +162,15 @@
                 .map(|stage| stage.target)
                 .chain(standbys)
             {
-                leave_stage(world, target, release);
+                release_stage(world, target, release);
             }
             Some(running)
         }
     }
 }
 
-/// Take a request off one stage.
-pub fn leave_stage(world: &mut World, target: TargetKey, release: Release) {
+/// Remove a request from one stage and schedule the release of its KV there.
+pub fn release_stage(world: &mut World, target: TargetKey, release: Release) {
     if let Some(row) = world.targets.get_mut(target) {
         row.running -= 1;
         row.releases.push(release);
--- a/reachtally-core/src/systems/gossip.rs
+++ b/reachtally-core/src/systems/gossip.rs
@@ -1,4 +1,4 @@
-//! Membership and the spread of the configuration inside a failure domain.
+//! Membership and configuration gossip within a failure domain.
 
 use std::time::Duration;
 
@@ -10,27 +10,29 @@
 use crate::time::Instant;
 use crate::world::{Timer, World};
 
-/// Peers that newly folded records are pushed to.
+/// Number of peers that newly folded records are pushed to.
 const PUSH_FANOUT: usize = 3;
-/// Records kept for peers that lack some.
-const RECENT_MAX: usize = 512;
-/// Members of a failure domain that follow the log closely; the others hear from them.
+/// Number of recent records retained for peers that lag behind.
+const MAX_RECENT_RECORDS: usize = 512;
+/// Number of members of a failure domain that tail the log closely; the others receive records
+/// through gossip.
 pub const READERS: usize = 3;
-/// A tick that comes so much later than the last one means that the daemon was paused.
+/// Gap between two ticks or events above which the daemon assumes it was paused.
 pub const PAUSED_AFTER: Duration = Duration::from_secs(4);
-/// How long a daemon that was paused waits for the log or a peer before it goes on with what it has.
+/// How long a daemon that was paused waits for the log or a peer before it continues with its
+/// current configuration.
 pub const REVALIDATE_WAIT: Duration = Duration::from_secs(2);
 
-/// A configuration from a peer or from a snapshot in the log.
+/// Configuration obtained from a peer, or from a snapshot in the log.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum PeerConfig {
-    /// Records in order.
+    /// Consecutive records.
     Records(Vec<Read<Operation>>),
-    /// A whole configuration.
+    /// A complete configuration.
     Snapshot(Box<Config>),
 }
 
-/// Take part in the failure domain as `me`.
+/// Join the failure domain as `me`.
 pub fn join(world: &mut World, me: MemberState, now: Instant) {
     world.members.me = MemberState {
         incarnation: world.incarnation,
@@ -39,7 +41,7 @@
     world.start_timer(now, Timer::Gossip);
 }
 
-/// Send a digest to one peer, and start the next round.
+/// Send a digest to one peer and schedule the next round.
 pub fn round(world: &mut World, now: Instant, out: &mut Effects) {
     world.start_timer(now + GOSSIP_INTERVAL, Timer::Gossip);
     let config_next = world.config.next();
@@ -47,9 +49,9 @@
     me.heartbeat += 1;
     me.config_next = config_next;
     me.stopping = world.stopping;
-    world.members.forget(now);
+    world.members.remove_expired(now);
     world.reader = world.members.rank("reader", now) < READERS;
-    if !world.members.takes_part() {
+    if !world.members.is_gossip_enabled() {
         return;
     }
     for to in world.members.peers(1, now, &mut world.rng) {
@@ -58,7 +60,7 @@
     }
 }
 
-/// A digest arrived: learn of members, and ask for records if its sender has more.
+/// Merge a received digest, and pull configuration records if the sender has more.
 pub fn digest(world: &mut World, members: Vec<MemberState>, now: Instant, out: &mut Effects) {
     let sender = members.first().cloned();
     world.members.merge(members, now);
@@ -73,7 +75,7 @@
     }
 }
 
-/// Records or a snapshot came from a peer or the log.
+/// Apply records or a snapshot obtained from a peer or the log.
 pub fn peer_config(world: &mut World, config: PeerConfig, now: Instant, out: &mut Effects) {
     match config {
         PeerConfig::Records(records) => configure::read(world, &records, now, out),
@@ -81,17 +83,20 @@
     }
 }
 
-/// What a peer that has folded records below `next` lacks.
+/// Return the configuration that a peer lacks which has folded the records below `next`.
 pub fn config_for(world: &World, next: u64) -> PeerConfig {
-    let first = world.recent.front().map(|read| read.offset);
+    let first = world.recent_records.front().map(|read| read.offset);
     if first.is_some_and(|first| first <= next) {
-        let lacking = world.recent.iter().filter(|read| read.offset >= next);
+        let lacking = world
+            .recent_records
+            .iter()
+            .filter(|read| read.offset >= next);
         return PeerConfig::Records(lacking.cloned().collect());
     }
     PeerConfig::Snapshot(Box::new(world.config.clone()))
 }
 
-/// Newly folded records go on to some peers at once; digests reach the rest.
+/// Push newly folded records to a few peers at once; digests reach the rest.
 pub fn push(world: &mut World, records: Vec<Read<Operation>>, now: Instant, out: &mut Effects) {
     for to in world.members.peers(PUSH_FANOUT, now, &mut world.rng) {
         out.push(Effect::PushConfig {
@@ -99,19 +104,20 @@
             records: records.clone(),
         });
     }
-    world.recent.extend(records);
-    while world.recent.len() > RECENT_MAX {
-        world.recent.pop_front();
+    world.recent_records.extend(records);
+    while world.recent_records.len() > MAX_RECENT_RECORDS {
+        world.recent_records.pop_front();
     }
 }
 
-/// Something reaches the daemon: if the last time is far too long ago, it was paused, the configuration
-/// in force may be old, and nothing is admitted until it was compared. What arrived during the pause
-/// proves nothing, so only the answer to a question asked after it counts.
-pub fn notice_pause(world: &mut World, now: Instant, out: &mut Effects) {
+/// Detect a pause of this process from the time since the last tick or event. After a pause the
+/// configuration may be stale, so nothing is admitted until it has been revalidated. Data that
+/// arrived during the pause may itself be stale, so only the response to a query sent after the
+/// pause counts.
+pub fn detect_pause(world: &mut World, now: Instant, out: &mut Effects) {
     let late = now.since(world.last_tick);
     world.last_tick = now;
-    if !world.members.takes_part() || late <= PAUSED_AFTER {
+    if !world.members.is_gossip_enabled() || late <= PAUSED_AFTER {
         return;
     }
     world.counters.pauses_noticed += 1;
@@ -127,19 +133,19 @@
     });
 }
 
-/// A comparison that is under way.
+/// A revalidation in progress.
 #[derive(Debug, Clone, Copy)]
 pub struct Revalidation {
     nonce: u64,
     until: Instant,
 }
 
-/// The configuration was compared with the log or a peer, as asked under `nonce`.
+/// Handle the response to the revalidation query `nonce`.
 pub fn revalidated(world: &mut World, nonce: u64) {
     world.revalidation = world.revalidation.filter(|asked| asked.nonce != nonce);
 }
 
-/// Whether the configuration in force must be compared before anything is admitted.
+/// Return whether the configuration must be revalidated before anything is admitted.
 pub fn must_revalidate(world: &World, now: Instant) -> bool {
     world.revalidation.is_some_and(|asked| now < asked.until)
 }
--- a/reachtally-core/src/systems/health.rs
+++ b/reachtally-core/src/systems/health.rs
@@ -1,13 +1,13 @@
-//! Suspecting targets that fail, and probing them until they answer.
+//! Health checks: suspect targets after failed calls and probe them until they respond.
 
 use crate::effect::{Change, Effect, Effects};
 use crate::ids::TargetKey;
-use crate::systems::shift;
+use crate::systems::failover;
 use crate::target::Health;
 use crate::time::Instant;
 use crate::world::{Timer, World};
 
-/// Suspect a target: it gets no new work until a probe succeeds.
+/// Mark a target as suspect. It receives no new work until a probe succeeds.
 pub fn suspect(world: &mut World, key: TargetKey, now: Instant, out: &mut Effects) {
     let Some(target) = world.targets.get_mut(key) else {
         return;
@@ -20,7 +20,7 @@
     world.mark_dirty(key);
 }
 
-/// It is time to probe a suspected target.
+/// Probe a target if it is still suspect.
 pub fn probe(world: &World, key: TargetKey, out: &mut Effects) {
     let suspected = world
         .targets
@@ -31,7 +31,7 @@
     }
 }
 
-/// A probe ended.
+/// Handle the result of a probe.
 pub fn probed(world: &mut World, key: TargetKey, up: bool, now: Instant, out: &mut Effects) {
     let Some(target) = world.targets.get_mut(key) else {
         return;
@@ -48,5 +48,5 @@
     target.health = Health::Up;
     out.push(Effect::Changed(Change::TargetUp(target.name.clone())));
     world.mark_dirty(key);
-    shift::retry_parked(world, now, out);
+    failover::retry_parked(world, now, out);
 }
--- a/reachtally-core/src/systems/mod.rs
+++ b/reachtally-core/src/systems/mod.rs
@@ -1,4 +1,4 @@
-//! The systems: free functions over the [`World`](crate::World), one job each.
+//! The systems: free functions over the [`World`](crate::World), each with a single task.
 
 pub mod accept;
 pub mod admit;
@@ -6,12 +6,12 @@
 pub mod configure;
 pub mod deliver;
 pub mod dispatch;
+pub mod failover;
 pub mod finish;
 pub mod gossip;
 pub mod health;
 pub mod relocate;
 pub mod service;
-pub mod shift;
 pub mod standby;
 pub mod start;
 pub mod steward;
--- a/reachtally-core/src/systems/relocate.rs
+++ b/reachtally-core/src/systems/relocate.rs
@@ -1,5 +1,5 @@
-//! Moving a running request off an engine whose box is leaving, while that engine still answers: its
-//! KV is exported and imported, or the stage is replayed where that is quicker.
+//! Move running requests off engines whose box is leaving but which still respond. The KV is
+//! exported and imported, or the stage is replayed where that is faster.
 
 use slotmap::Key;
 
@@ -7,28 +7,28 @@
 use crate::effect::{Effect, Effects};
 use crate::ids::{RequestId, RequestKey, TargetKey};
 use crate::request::{Moving, Progress, Running, Work};
-use crate::restore::{Estimate, Way};
-use crate::systems::shift::{self, Prepared};
+use crate::restore::{RestoreCost, RestoreMethod};
+use crate::systems::failover::{self, KvCoverage};
 use crate::time::Instant;
 use crate::world::World;
 
-/// Tokens still to come below which a request ends where it is.
-const MOVE_LEAST: u32 = 16;
+/// A request with fewer tokens left to generate than this is not moved.
+const MIN_TOKENS_TO_MOVE: u32 = 16;
 
-/// Whether the step that `request` awaits at `from` is held back because its stage moves; starts the
-/// move if there is reason and room for one.
-pub fn begin(
+/// Start moving the stage that `request` awaits at `from` if its box is leaving and a target has
+/// room. Return whether the step is held back because of the move.
+pub fn try_start(
     world: &mut World,
     request: RequestKey,
     from: TargetKey,
     now: Instant,
     out: &mut Effects,
 ) -> bool {
-    let Some((stage, to)) = wanted(world, request, from) else {
+    let Some((stage, to)) = choose_move(world, request, from) else {
         return false;
     };
-    if is_replay_quicker(world, request, stage, to) {
-        shift::restore(world, request, from, now, out);
+    if is_replay_faster(world, request, stage, to) {
+        failover::restore_stage(world, request, from, now, out);
         return true;
     }
     let id = RequestId::new(world.incarnation, request);
@@ -45,8 +45,12 @@
     true
 }
 
-/// The stage to move and where to, if the box is leaving and enough is still to come.
-fn wanted(world: &mut World, request: RequestKey, from: TargetKey) -> Option<(usize, TargetKey)> {
+/// Return the stage to move and its new target, if the box is leaving and enough tokens remain.
+fn choose_move(
+    world: &mut World,
+    request: RequestKey,
+    from: TargetKey,
+) -> Option<(usize, TargetKey)> {
     if !world.targets.get(from)?.leaving {
         return None;
     }
@@ -55,10 +59,13 @@
     else {
         return None;
     };
-    let to_come = completion
+    let remaining_tokens = completion
         .max_tokens
         .saturating_sub(running.tokens.len() as u32);
-    if running.moving.is_some() || running.tokens.is_empty() || to_come < MOVE_LEAST {
+    if running.moving.is_some()
+        || running.tokens.is_empty()
+        || remaining_tokens < MIN_TOKENS_TO_MOVE
+    {
         return None;
     }
     let stage = running.awaited.as_ref()?.stage;
@@ -68,17 +75,17 @@
     world.targets[to].has_slot().then_some((stage, to))
 }
 
-fn is_replay_quicker(world: &World, request: RequestKey, stage: usize, to: TargetKey) -> bool {
+fn is_replay_faster(world: &World, request: RequestKey, stage: usize, to: TargetKey) -> bool {
     let Progress::Running(running) = &world.requests[request].progress else {
         return false;
     };
     let end = running.accepted[stage];
-    if stage > 0 && running.kept[stage].span(0, end).is_none() {
+    if stage > 0 && running.replay_buffers[stage].span(0, end).is_none() {
         return false;
     }
-    let estimate = Estimate {
+    let estimate = RestoreCost {
         positions: end,
-        unit: running.kept[stage].unit(),
+        activation_len: running.replay_buffers[stage].activation_len(),
         link_rate: world.limits.link_rate,
         replacement: &world.targets[to].latency,
         chain: &[],
@@ -87,8 +94,9 @@
     estimate.replay(0) <= estimate.import(layers, world.limits.kv_bytes)
 }
 
-/// A move ended. `positions` is what the KV at the new engine covers, if it was moved.
-pub fn moved(
+/// Handle the end of a move. `positions` is the number of positions the KV at the new engine
+/// covers, or `None` if the move failed.
+pub fn kv_moved(
     world: &mut World,
     request: RequestKey,
     to: TargetKey,
@@ -112,13 +120,13 @@
         .get(to)
         .is_some_and(|target| target.takes_work());
     if whole && up {
-        let prepared = Prepared {
+        let kv = KvCoverage {
             covered,
-            way: Way::Import,
+            method: RestoreMethod::Import,
         };
-        shift::place(world, request, moving.stage, to, prepared, now, out);
+        failover::place_stage(world, request, moving.stage, to, kv, now, out);
     } else {
-        shift::restore(world, request, TargetKey::null(), now, out);
+        failover::restore_stage(world, request, TargetKey::null(), now, out);
     }
 }
 
--- a/reachtally-core/src/systems/service.rs
+++ b/reachtally-core/src/systems/service.rs
@@ -1,4 +1,4 @@
-//! Calls to plain services: choice of the instance, and what may be sent again.
+//! Calls to plain services: instance selection and retries.
 
 use std::time::Duration;
 
@@ -13,12 +13,13 @@
 use crate::time::Instant;
 use crate::world::{Timer, World};
 
-/// Milliseconds that a call waits before it is sent again.
-const RETRY_WAIT_MS: std::ops::Range<u64> = 10..60;
-/// Times one call is sent again.
-const RETRIES_MAX: u32 = 2;
+/// Delay before a retry, in milliseconds.
+const RETRY_DELAY_MS: std::ops::Range<u64> = 10..60;
+/// Maximum number of retries of one call.
+const MAX_RETRIES: u32 = 2;
 
-/// Send the call to the instance with the fewest calls that has not failed it.
+/// Send the call to the instance with the fewest running calls, excluding instances that already
+/// failed this request.
 pub fn send(world: &mut World, request: RequestKey, out: &mut Effects) {
     let Some(req) = world.requests.get(request) else {
         return;
@@ -61,8 +62,8 @@
         .map(|(key, _)| key)
 }
 
-/// A service answered, or the call to it failed.
-pub fn called(
+/// Handle the response of a service, or a failed call.
+pub fn call_done(
     world: &mut World,
     request: RequestKey,
     target: TargetKey,
@@ -93,7 +94,7 @@
     }
 }
 
-/// Send the call again if nothing of it ran, or if it may be repeated; else its outcome is unknown.
+/// Retry the call if it did not run or may be repeated; otherwise its outcome is unknown.
 fn failed(
     world: &mut World,
     request: RequestKey,
@@ -102,7 +103,7 @@
     now: Instant,
     out: &mut Effects,
 ) {
-    finish::leave_targets(world, request);
+    finish::detach_from_targets(world, request);
     let req = &mut world.requests[request];
     if let CallFailure::NeverStarted(proof) = failure {
         req.state = req.state.take().map(|state| state.never_started(proof));
@@ -110,7 +111,7 @@
     let may_repeat = req.repeatable || !req.is_dispatched();
     req.tried.push(target);
     req.retries += 1;
-    if may_repeat && req.retries <= RETRIES_MAX && take_retry(world) {
+    if may_repeat && req.retries <= MAX_RETRIES && take_retry(world) {
         world.counters.service_retries += 1;
         return send_again(world, request, failure, now, out);
     }
@@ -123,8 +124,8 @@
     );
 }
 
-/// A call that never started goes on at once. One whose answer was lost waits a little, a different
-/// time each, so that calls which failed together don't come back together.
+/// Retry a call that never started immediately. A call whose answer was lost is retried after a
+/// short random delay, so that calls which failed together are not retried together.
 fn send_again(
     world: &mut World,
     request: RequestKey,
@@ -135,12 +136,12 @@
     if matches!(failure, CallFailure::NeverStarted(_)) {
         return send(world, request, out);
     }
-    let wait = world.rng.random_range(RETRY_WAIT_MS);
+    let wait = world.rng.random_range(RETRY_DELAY_MS);
     let at = now + Duration::from_millis(wait);
     world.start_timer(at, Timer::Retry(request));
 }
 
-/// A call has waited for its retry.
+/// Handle the end of a retry delay.
 pub fn retry(world: &mut World, request: RequestKey, out: &mut Effects) {
     let waits = world
         .requests
--- a/reachtally-core/src/systems/standby.rs
+++ b/reachtally-core/src/systems/standby.rs
@@ -1,22 +1,22 @@
-//! Standbys: engines that follow a stage's KV a few positions behind, so that a death costs the
-//! restore of those few positions only.
+//! Standby engines, which replicate the KV of a stage with a lag of a few positions, so that losing
+//! the engine requires restoring only those positions.
 //!
-//! Every `standby_positions` accepted positions the stage's inputs since the last time go to the
-//! standby as one span, which an engine runs in little more than the time of a single position. A
-//! standby holds KV, so it is only taken on an engine of which less than half is in use.
+//! After every `standby_positions` tokens, the inputs of the stage since the last update are sent
+//! to the standby as one span, which takes an engine little longer than a single position. Standbys
+//! hold KV, so only engines with less than half of their slots in use are chosen.
 
 use crate::chain;
 use crate::effect::{Effect, Effects};
 use crate::ids::{CallKey, RequestId, RequestKey, TargetKey};
 use crate::request::{Progress, Running, Standby, Work};
 use crate::step::{Batch, Release, Step, StepResult};
-use crate::systems::{finish, shift};
+use crate::systems::{failover, finish};
 use crate::target::Target;
 use crate::time::Instant;
-use crate::world::{Call, Load, Purpose, Sent, Timer, World};
+use crate::world::{Call, Load, SentStep, StepPurpose, Timer, World};
 
-/// A token was accepted; every so many positions the standbys are brought up.
-pub fn note_token(world: &mut World, request: RequestKey) {
+/// Count an accepted token and schedule an update of the standbys every `standby_positions` tokens.
+pub fn token_accepted(world: &mut World, request: RequestKey) {
     let every = world.limits.standby_positions;
     let Some(running) = world.running(request) else {
         return;
@@ -26,27 +26,27 @@
     }
 }
 
-/// Bring up the standbys of the requests that are due.
+/// Update the standbys of the requests that are due.
 pub fn run(world: &mut World, now: Instant, out: &mut Effects) {
     for request in std::mem::take(&mut world.standby_due) {
         let Some(running) = world.running(request) else {
             continue;
         };
-        for stage in 0..running_stages(running) {
-            take(world, request, stage);
-            follow(world, request, stage, now, out);
+        for stage in 0..stage_count(running) {
+            assign_standby(world, request, stage);
+            advance_standby(world, request, stage, now, out);
         }
     }
 }
 
-fn running_stages(running: &Running) -> usize {
+fn stage_count(running: &Running) -> usize {
     running.chain.len()
 }
 
-/// Whether a new standby could be given the stage's inputs from the start.
-fn can_begin(running: &Running, stage: usize) -> bool {
+/// Return whether a new standby could be sent the inputs of the stage from the start.
+fn can_start(running: &Running, stage: usize) -> bool {
     stage == 0
-        || running.kept[stage]
+        || running.replay_buffers[stage]
             .span(0, running.accepted[stage])
             .is_some()
 }
@@ -57,13 +57,13 @@
         .is_some_and(|(_, _, slots)| (target.running + 1) * 2 <= slots)
 }
 
-/// Take a standby for a stage that has none, if an engine is idle enough.
-fn take(world: &mut World, request: RequestKey, stage: usize) {
+/// Assign a standby to a stage that has none, if a sufficiently idle engine exists.
+fn assign_standby(world: &mut World, request: RequestKey, stage: usize) {
     let Some(Progress::Running(running)) = world.requests.get(request).map(|req| &req.progress)
     else {
         return;
     };
-    if running.standbys[stage].is_some() || !can_begin(running, stage) {
+    if running.standbys[stage].is_some() || !can_start(running, stage) {
         return;
     }
     let serving = running.chain[stage];
@@ -83,8 +83,14 @@
     }
 }
 
-/// Send a standby the inputs since the last time.
-fn follow(world: &mut World, request: RequestKey, stage: usize, now: Instant, out: &mut Effects) {
+/// Send the standby the inputs accumulated since its last update.
+fn advance_standby(
+    world: &mut World,
+    request: RequestKey,
+    stage: usize,
+    now: Instant,
+    out: &mut Effects,
+) {
     let Some((target, step)) = next_step(world, request, stage) else {
         return;
     };
@@ -99,10 +105,10 @@
     let due = now + row.latency.timeout(step.positions);
     let call = world.calls.insert(Call {
         target,
-        steps: vec![Sent {
+        steps: vec![SentStep {
             request,
             positions: step.positions,
-            purpose: Purpose::Standby { stage, end },
+            purpose: StepPurpose::Standby { stage, end },
         }],
         sent_at: now,
         load: Load::Span,
@@ -135,7 +141,7 @@
     if standby.call.is_some() || standby.covered >= end {
         return None;
     }
-    let from = running.restorable_from(stage, standby.covered);
+    let from = running.restore_start(stage, standby.covered);
     let input = running.stage_input(stage, from, end, &completion.prompt)?;
     let step = Step {
         request: RequestId::new(world.incarnation, request),
@@ -151,17 +157,17 @@
     Some((standby.target, step))
 }
 
-/// A standby answered, or did not: it covers more, or it is dropped. A stage that waits for it is
-/// restored.
+/// Handle the response of a standby, or its absence: extend its coverage or drop it. A stage that
+/// waits for the standby is then restored.
 pub fn answered(
     world: &mut World,
     call: CallKey,
-    sent: Sent,
+    sent: SentStep,
     result: Option<&StepResult>,
     now: Instant,
     out: &mut Effects,
 ) {
-    let Purpose::Standby { stage, end } = sent.purpose else {
+    let StepPurpose::Standby { stage, end } = sent.purpose else {
         return;
     };
     let Some(running) = world.running(sent.request) else {
@@ -184,11 +190,11 @@
     };
     if running.waits_for_standby {
         running.waits_for_standby = false;
-        shift::lost(world, sent.request, now, out);
+        failover::replace_stage(world, sent.request, now, out);
     }
 }
 
-/// Let a standby go.
+/// Drop a standby and release its KV.
 pub fn drop_standby(world: &mut World, request: RequestKey, stage: usize) {
     let id = RequestId::new(world.incarnation, request);
     let Some(running) = world.running(request) else {
@@ -200,6 +206,6 @@
             request: id,
             attempt,
         };
-        finish::leave_stage(world, standby.target, release);
+        finish::release_stage(world, standby.target, release);
     }
 }
--- a/reachtally-core/src/systems/start.rs
+++ b/reachtally-core/src/systems/start.rs
@@ -1,13 +1,13 @@
-//! Sending an admitted, and where needed claimed, request to its first target.
+//! Send an admitted, and if necessary claimed, request to its first target.
 
-use crate::chain::{self, NoChain, Stage};
+use crate::chain::{self, ChainUnavailable, Stage};
 use crate::declare::Layers;
 use crate::effect::Effects;
 use crate::ids::RequestKey;
 use crate::life::{Refusal, Unknown};
 use crate::lineage::Lineage;
 use crate::request::{Awaited, Completion, Progress, Running, Work};
-use crate::restore::KeptInputs;
+use crate::restore::ReplayBuffer;
 use crate::step::Input;
 use crate::systems::{finish, service};
 use crate::time::Instant;
@@ -57,7 +57,7 @@
     world.mark_dirty(first);
 }
 
-/// Choose a chain for what the name stands for.
+/// Choose a chain for the requested model or adapter.
 fn choose(world: &mut World, completion: &Completion) -> Result<Running, Refusal> {
     let served = world.config.served(&completion.model);
     let served = served.ok_or(Refusal::UnknownModel)?;
@@ -69,12 +69,13 @@
     match chain::choose(groups, &world.targets, layers, &mut world.rng) {
         Ok(stages) if !is_whole(&stages, layers) => Err(Refusal::NoTarget),
         Ok(stages) => Ok(new_running(stages, model, adapter, &completion.prompt)),
-        Err(NoChain::Uncovered) => Err(Refusal::NoTarget),
-        Err(NoChain::Full) => Err(Refusal::Busy),
+        Err(ChainUnavailable::Uncovered) => Err(Refusal::NoTarget),
+        Err(ChainUnavailable::Full) => Err(Refusal::Busy),
     }
 }
 
-/// The check before any token moves: the stages cover the model's layers in order, each layer once.
+/// Verify, before any step is sent, that the stages cover every layer of the model exactly once and
+/// in order.
 fn is_whole(stages: &[Stage], layers: u32) -> bool {
     let ranges: Vec<Layers> = stages.iter().map(|stage| stage.layers).collect();
     chain::check(&ranges, layers).is_ok()
@@ -100,11 +101,11 @@
             call: None,
         }),
         accepted: vec![0; stages],
-        kept: vec![KeptInputs::default(); stages],
+        replay_buffers: vec![ReplayBuffer::default(); stages],
         prompt_positions: 0,
         tokens: Vec::new(),
         text: String::new(),
-        undrained: 0,
+        unconsumed: 0,
         lineage: Lineage::default(),
         parked: false,
         standbys: vec![None; stages],
--- a/reachtally-core/src/systems/steward.rs
+++ b/reachtally-core/src/systems/steward.rs
@@ -1,10 +1,10 @@
-//! The steward of a failure domain: it holds the lease, confirms what the domain serves by, and
-//! gives orders to targets.
+//! The steward of a failure domain, that is, the holder of the domain's lease. It confirms the
+//! configuration offset that the domain serves and sends orders to targets.
 //!
-//! Orders are level-triggered: what is declared against what a target reports, given again until
-//! both agree. A target that does not check fences gets orders only while the lease is held with
-//! [`ORDER_MARGIN`] to spare; one that checks them can also be ordered on a lapsed lease, since it
-//! refuses an outdated fence itself.
+//! Orders are level-triggered: the declared state is compared with the state a target reports, and
+//! the order is repeated until both agree. A target that does not check fences receives orders only
+//! while the lease is held with [`ORDER_MARGIN`] to spare. A target that checks fences rejects an
+//! outdated fence itself, so it may also receive orders after the lease has expired.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -19,68 +19,69 @@
 
 /// Time between two rounds of the steward.
 pub const STEWARD_INTERVAL: Duration = Duration::from_secs(1);
-/// Lease time that must be left for an order to a target that does not check fences. Longer than an
-/// order takes to arrive or fail.
+/// Remaining lease time required to send an order to a target that does not check fences. Longer
+/// than an order takes to arrive or fail.
 pub const ORDER_MARGIN: Duration = Duration::from_secs(2);
-/// Engines asked in one round, so that the steward's cost does not grow with its domain.
+/// Number of engines polled per round, so that the steward's cost does not grow with its domain.
 const REPORTS_PER_ROUND: usize = 4;
-/// Time after which the first in rank takes a lease that nobody renews; each later rank waits longer.
+/// Delay before the first-ranked member takes a lease that is not renewed. Each subsequent rank
+/// waits this much longer.
 const RANK_WAIT: Duration = Duration::from_secs(2);
-/// Time a target must be idle, by its own report, after the whole domain has confirmed its drain.
-/// Longer than a step that was chosen before the drain can be on its way.
+/// Time a target must report itself idle after the whole domain has confirmed its drain. Longer
+/// than a step chosen before the drain can be in flight.
 pub const STOP_QUIET: Duration = Duration::from_secs(3);
 
-/// What a target is to do.
+/// An order to a target.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Order {
     /// Load an adapter or model version.
     Load(String),
-    /// Unload it.
+    /// Unload an adapter or model version.
     Unload(String),
-    /// Stop; it is drained and idle.
+    /// Stop; the target is drained and idle.
     Stop,
 }
 
-/// What a target reports of itself.
+/// State reported by a target.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct Reported {
-    /// What it holds loaded.
+    /// Adapters and model versions that are loaded.
     pub loaded: BTreeSet<String>,
-    /// Requests whose KV it holds.
+    /// Number of requests whose KV the target holds.
     pub requests: u64,
 }
 
-/// One round: take or renew the lease, then act as the steward if it is held.
+/// Run one round: acquire or renew the lease, and act as the steward if it is held.
 pub fn round(world: &mut World, now: Instant, out: &mut Effects) {
     world.start_timer(now + STEWARD_INTERVAL, Timer::Steward);
     if world.members.me.domain.is_empty() {
         return;
     }
-    seek_lease(world, now, out);
-    if !world.tenure.is_held(now, Duration::ZERO) {
+    try_acquire_lease(world, now, out);
+    if !world.local_lease.is_held(now, Duration::ZERO) {
         return;
     }
     confirm(world, now, out);
-    for target in longest_unasked(world) {
-        world.targets[target].asked_at = Some(now);
+    for target in least_recently_polled(world) {
+        world.targets[target].polled_at = Some(now);
         out.push(Effect::AskReport { target });
     }
 }
 
-fn seek_lease(world: &mut World, now: Instant, out: &mut Effects) {
-    let tenure = &world.tenure;
-    if tenure.in_flight || now < tenure.next_at || world.stopping {
+fn try_acquire_lease(world: &mut World, now: Instant, out: &mut Effects) {
+    let local_lease = &world.local_lease;
+    if local_lease.in_flight || now < local_lease.next_at || world.stopping {
         return;
     }
-    let held = tenure.is_held(now, Duration::ZERO);
-    if !held && !is_free(world, now) {
+    let held = local_lease.is_held(now, Duration::ZERO);
+    if !held && !may_be_free(world, now) {
         return;
     }
-    let tenure = &mut world.tenure;
-    let seq = tenure.sent.map_or(0, |(seq, _)| seq + 1);
-    tenure.in_flight = true;
-    tenure.sent = Some((seq, now));
-    tenure.next_at = now + RENEW_INTERVAL;
+    let local_lease = &mut world.local_lease;
+    let seq = local_lease.sent.map_or(0, |(seq, _)| seq + 1);
+    local_lease.in_flight = true;
+    local_lease.sent = Some((seq, now));
+    local_lease.next_at = now + RENEW_INTERVAL;
     out.push(Effect::AppendDomain(DomainRecord::Lease {
         domain: world.members.me.domain.clone(),
         holder: world.incarnation,
@@ -88,22 +89,22 @@
     }));
 }
 
-/// Whether the lease looks free to this daemon. Only the log decides; this keeps most of the domain
-/// from asking.
-fn is_free(world: &World, now: Instant) -> bool {
+/// Return whether the lease appears to be free. Only the log decides; this check keeps most members
+/// of the domain from trying to acquire it.
+fn may_be_free(world: &World, now: Instant) -> bool {
     let rank = world.members.rank("steward", now) as u32;
-    match world.tenure.seen_at {
+    match world.local_lease.seen_at {
         None => now.elapsed() >= RANK_WAIT * rank,
         Some(seen_at) => now.since(seen_at) >= LEASE + RANK_WAIT * (rank + 1),
     }
 }
 
-/// The log answered an append of this daemon.
+/// Handle the log's response to an append.
 pub fn appended(world: &mut World) {
-    world.tenure.in_flight = false;
+    world.local_lease.in_flight = false;
 }
 
-/// Fold records of the stream of failure domains.
+/// Fold records of the failure domain stream.
 pub fn read(world: &mut World, records: &[Read<DomainRecord>], now: Instant) {
     for read in records {
         world.domains.fold(read.offset, read.at_ms, &read.record);
@@ -119,31 +120,35 @@
     }
 }
 
-/// Somebody took or renewed the lease of this domain, or tried to. An own renewal counts from when
-/// that very append was sent; an older one that shows late does not.
+/// Handle an attempt by any daemon to acquire or renew the lease of this domain. The daemon's own
+/// renewal counts from the time that append was sent; a record of an earlier append that is read
+/// late is ignored.
 fn lease_read(world: &mut World, holder: Incarnation, seq: u64, now: Instant) {
     let lease = world.domains.get(&world.members.me.domain).lease;
     if lease.is_none_or(|lease| lease.holder != holder) {
         return;
     }
-    world.tenure.seen_at = Some(now);
+    world.local_lease.seen_at = Some(now);
     if holder != world.incarnation {
-        world.tenure.held_until = None;
-    } else if let Some((sent, sent_at)) = world.tenure.sent
+        world.local_lease.held_until = None;
+    } else if let Some((sent, sent_at)) = world.local_lease.sent
         && sent == seq
     {
-        world.tenure.held_until = Some(sent_at + (LEASE - LEASE_MARGIN));
+        world.local_lease.held_until = Some(sent_at + (LEASE - LEASE_MARGIN));
     }
 }
 
-/// Tell the log what every live box of the domain serves by, if that has grown.
+/// Append the configuration offset that every live box of the domain serves, if it has advanced.
 fn confirm(world: &mut World, now: Instant, out: &mut Effects) {
     let domain = world.members.me.domain.clone();
-    let lowest = world.members.lowest_config(now).min(world.config.next());
-    if lowest <= world.domains.get(&domain).confirmed || lowest <= world.confirm_sent {
+    let lowest = world
+        .members
+        .min_config_offset(now)
+        .min(world.config.next());
+    if lowest <= world.domains.get(&domain).confirmed || lowest <= world.confirm_sent_offset {
         return;
     }
-    world.confirm_sent = lowest;
+    world.confirm_sent_offset = lowest;
     out.push(Effect::AppendDomain(DomainRecord::Confirm {
         domain,
         holder: world.incarnation,
@@ -151,20 +156,20 @@
     }));
 }
 
-/// The engines of the own domain that were not asked for the longest time.
-fn longest_unasked(world: &World) -> Vec<TargetKey> {
+/// Return the engines of this domain that were polled least recently.
+fn least_recently_polled(world: &World) -> Vec<TargetKey> {
     let own = &world.members.me.domain;
     let engines = world.targets.iter();
     let engines = engines.filter(|(_, target)| target.engine().is_some() && target.domain == *own);
     let mut by_time: Vec<_> = engines
-        .map(|(key, target)| (target.asked_at, key))
+        .map(|(key, target)| (target.polled_at, key))
         .collect();
     by_time.sort_unstable();
     by_time.truncate(REPORTS_PER_ROUND);
     by_time.into_iter().map(|(_, key)| key).collect()
 }
 
-/// A target reported: order what is missing.
+/// Handle a target's report by sending the next order it needs.
 pub fn reported(
     world: &mut World,
     key: TargetKey,
@@ -172,7 +177,7 @@
     now: Instant,
     out: &mut Effects,
 ) {
-    let Some(order) = wanted(world, key, report, now) else {
+    let Some(order) = next_order(world, key, report, now) else {
         return;
     };
     let Some(target) = world.targets.get(key) else {
@@ -187,7 +192,7 @@
     let Some(lease) = lease.filter(|lease| lease.holder == world.incarnation) else {
         return;
     };
-    if !target.checks_fence && !world.tenure.is_held(now, margin) {
+    if !target.checks_fence && !world.local_lease.is_held(now, margin) {
         world.counters.orders_withheld += 1;
         return;
     }
@@ -199,14 +204,14 @@
     });
 }
 
-/// The next order that brings a target to what is declared.
-fn wanted(world: &mut World, key: TargetKey, report: &Reported, now: Instant) -> Option<Order> {
+/// Return the next order that brings a target closer to its declared state.
+fn next_order(world: &mut World, key: TargetKey, report: &Reported, now: Instant) -> Option<Order> {
     let target = world.targets.get(key)?;
     let (model, _, _) = target.engine()?;
     let entry = world.config.get(Kind::Engine, &target.name)?;
     if entry.stopped {
         let revision = entry.revision;
-        return stop_if_quiet(world, key, revision, report, now);
+        return stop_if_idle(world, key, revision, report, now);
     }
     let declared = declared_adapters(world, model);
     if let Some(missing) = declared.difference(&report.loaded).next() {
@@ -225,21 +230,21 @@
     of_model.collect()
 }
 
-/// Stop a target once every live box of the domain serves by its drain, and it has since reported
-/// itself idle for [`STOP_QUIET`].
-fn stop_if_quiet(
+/// Stop a target once every live box of the domain serves its drain and the target has since
+/// reported itself idle for [`STOP_QUIET`].
+fn stop_if_idle(
     world: &mut World,
     key: TargetKey,
     revision: u64,
     report: &Reported,
     now: Instant,
 ) -> Option<Order> {
-    let confirmed = world.members.lowest_config(now) >= revision;
+    let confirmed = world.members.min_config_offset(now) >= revision;
     let target = world.targets.get_mut(key)?;
     if !confirmed || report.requests > 0 || target.running > 0 {
-        target.quiet_since = None;
+        target.idle_since = None;
         return None;
     }
-    let since = *target.quiet_since.get_or_insert(now);
+    let since = *target.idle_since.get_or_insert(now);
     (now.since(since) >= STOP_QUIET).then_some(Order::Stop)
 }
--- a/reachtally-core/src/target.rs
+++ b/reachtally-core/src/target.rs
@@ -64,9 +64,9 @@
     /// Engine or service instance.
     pub role: Role,
     /// When the steward last asked it for a report.
-    pub asked_at: Option<Instant>,
+    pub polled_at: Option<Instant>,
     /// Since when it has reported itself idle with its drain confirmed.
-    pub quiet_since: Option<Instant>,
+    pub idle_since: Option<Instant>,
     /// Whether it answers.
     pub health: Health,
     /// Whether an operator drained it.
@@ -99,8 +99,8 @@
             domain: String::new(),
             checks_fence: false,
             role,
-            asked_at: None,
-            quiet_since: None,
+            polled_at: None,
+            idle_since: None,
             health: Health::Up,
             drained: false,
             leaving: false,
--- a/reachtally-core/src/world.rs
+++ b/reachtally-core/src/world.rs
@@ -1,4 +1,4 @@
-//! The tables, and the entry points that run the systems over them.
+//! The tables of a daemon, and the entry points that run the systems over them.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap, VecDeque};
@@ -15,7 +15,7 @@
 use crate::event::{Event, Read};
 use crate::fold::{Config, Operation};
 use crate::ids::{AccountKey, CallKey, Incarnation, RequestKey, TargetKey};
-use crate::lease::{Domains, Tenure};
+use crate::lease::{Domains, LocalLease};
 use crate::member::{MemberState, Members};
 use crate::request::{Ask, Progress, Request, Running};
 use crate::retry::Budget;
@@ -23,32 +23,33 @@
 use crate::target::{Health, Target};
 use crate::time::Instant;
 
-/// Bounds that the daemon's settings give.
+/// Limits taken from the daemon's settings.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Limits {
-    /// Bytes of stage inputs kept for replay, over all requests.
+    /// Maximum number of bytes of stage inputs retained for replay, over all requests.
     pub replay_bytes: usize,
-    /// Tokens that a caller's stream may hold before its request pauses.
+    /// Number of tokens buffered for a caller above which the request pauses.
     pub caller_window: u32,
-    /// Calls with single positions outstanding at one engine.
+    /// Maximum number of outstanding calls with single positions per engine.
     pub calls_per_engine: u32,
-    /// Calls with a span, such as a prompt, outstanding at one engine.
+    /// Maximum number of outstanding calls with a span, such as a prompt, per engine.
     pub span_calls_per_engine: u32,
-    /// Steps in one call.
+    /// Maximum number of steps per call.
     pub steps_per_call: usize,
-    /// Time between two appends of claims.
+    /// Minimum time between two appends of claims.
     pub append_interval: Duration,
-    /// How long a claim is remembered, by the log's clock. Shorter than the log's retention.
+    /// How long a claim is remembered, by the clock of the log. Must be shorter than the log's
+    /// retention.
     pub claim_window: Duration,
     /// How long a request waits for its claim before it is refused as not run.
     pub claim_wait: Duration,
     /// How long a running request waits for an engine to replace a lost stage.
     pub replacement_wait: Duration,
-    /// Accepted positions after which a stage's standby is brought up; 0 for no standbys.
+    /// Number of generated tokens between two updates of a stage's standby; 0 disables standbys.
     pub standby_positions: u32,
-    /// Bytes of KV assumed for each layer and position.
+    /// Assumed size of the KV of one layer and position, in bytes.
     pub kv_bytes: u32,
-    /// Bytes a second assumed on the link to an engine.
+    /// Assumed bandwidth of the link to an engine, in bytes per second.
     pub link_rate: f64,
 }
 
@@ -71,23 +72,23 @@
     }
 }
 
-/// One step within an outstanding call.
+/// A step within an outstanding call.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Sent {
+pub struct SentStep {
     /// The request.
     pub request: RequestKey,
-    /// Number of positions, 0 while only the engine knows it.
+    /// Number of positions, or 0 if only the engine can determine it.
     pub positions: u32,
-    /// What the step is for.
-    pub purpose: Purpose,
+    /// The purpose of the step.
+    pub purpose: StepPurpose,
 }
 
-/// What a step is for.
+/// The purpose of a step.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Purpose {
-    /// The request goes on with its result.
+pub enum StepPurpose {
+    /// Advance the request.
     Forward,
-    /// The standby of `stage` is to cover the positions below `end`.
+    /// Extend the KV of the standby of `stage` to the positions below `end`.
     Standby {
         /// Index of the stage.
         stage: usize,
@@ -96,61 +97,62 @@
     },
 }
 
-/// What a call to an engine carries; each kind has a bound of its own on calls outstanding.
+/// The kind of payload of a call to an engine. The number of outstanding calls is limited
+/// separately for each kind.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Load {
-    /// Single positions of any number of requests, or releases only.
+    /// Single positions of any number of requests, or only releases.
     Singles,
-    /// A span of one request.
+    /// A span of positions of one request.
     Span,
 }
 
-/// A call to an engine that has not been answered.
+/// A call to an engine that has not been answered yet.
 #[derive(Debug)]
 pub struct Call {
     /// The engine.
     pub target: TargetKey,
-    /// The steps sent.
-    pub steps: Vec<Sent>,
-    /// When it was sent.
+    /// The steps in the call.
+    pub steps: Vec<SentStep>,
+    /// When the call was sent.
     pub sent_at: Instant,
-    /// Whether it carries single positions or a span.
+    /// Whether the call carries single positions or a span.
     pub load: Load,
 }
 
-/// A client account's row.
+/// A row of the account table.
 #[derive(Debug)]
 pub struct Account {
-    /// What was declared.
+    /// The declared account.
     pub declared: crate::declare::Account,
-    /// Requests running or waiting.
+    /// Number of requests that are running or waiting.
     pub running: u32,
 }
 
-/// What a timer is for.
+/// The purpose of a timer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Timer {
-    /// A call counts as lost.
+    /// Time-out of a call.
     Call(CallKey),
-    /// A request's deadline.
+    /// Deadline of a request.
     Deadline(RequestKey),
-    /// A request has waited long enough for its claim.
+    /// Time-out of a request's wait for its claim.
     ClaimWait(RequestKey),
-    /// A request has waited long enough for a replacement.
+    /// Time-out of a request's wait for a replacement engine.
     Replacement(RequestKey),
-    /// A suspected target is to be probed.
+    /// Next probe of a suspected target.
     Probe(TargetKey),
-    /// A service call is to be sent again.
+    /// Next retry of a service call.
     Retry(RequestKey),
-    /// Claims may be appended.
+    /// Next append of claims.
     Append,
-    /// A digest is to be sent.
+    /// Next gossip digest.
     Gossip,
-    /// A round of the steward.
+    /// Next round of the steward.
     Steward,
 }
 
-/// See [`World::decision_state`].
+/// State that decisions on requests depend on. See [`World::decision_state`].
 #[derive(Debug)]
 #[allow(dead_code, reason = "read by its Debug text only")]
 pub struct DecisionState<'a> {
@@ -163,14 +165,14 @@
     health: Vec<Health>,
 }
 
-/// All tables of one daemon.
+/// The tables of one daemon.
 #[derive(Debug)]
 pub struct World {
-    /// Bounds.
+    /// Limits from the settings.
     pub limits: Limits,
-    /// This daemon run.
+    /// Identity of this daemon run.
     pub incarnation: Incarnation,
-    /// What was counted.
+    /// Counters exported as metrics.
     pub counters: Counters,
     /// Engines and service instances.
     pub targets: SlotMap<TargetKey, Target>,
@@ -193,11 +195,11 @@
     pub(crate) waiting: Waiting,
     pub(crate) members: Members,
     pub(crate) reader: bool,
-    pub(crate) recent: VecDeque<Read<Operation>>,
-    pub(crate) snapshot_next: u64,
+    pub(crate) recent_records: VecDeque<Read<Operation>>,
+    pub(crate) last_snapshot_offset: u64,
     pub(crate) domains: Domains,
-    pub(crate) tenure: Tenure,
-    pub(crate) confirm_sent: u64,
+    pub(crate) local_lease: LocalLease,
+    pub(crate) confirm_sent_offset: u64,
     pub(crate) last_tick: Instant,
     pub(crate) revalidation: Option<systems::gossip::Revalidation>,
     pub(crate) dirty: Vec<TargetKey>,
@@ -211,7 +213,7 @@
 }
 
 impl World {
-    /// An empty world for one daemon run; `seed` drives every random choice.
+    /// Create an empty world for one daemon run. `seed` seeds every random choice.
     pub fn new(incarnation: Incarnation, seed: u64, limits: Limits) -> Self {
         World {
             limits,
@@ -233,11 +235,11 @@
             waiting: Waiting::default(),
             members: Members::default(),
             reader: true,
-            recent: VecDeque::new(),
-            snapshot_next: 0,
+            recent_records: VecDeque::new(),
+            last_snapshot_offset: 0,
             domains: Domains::default(),
-            tenure: Tenure::default(),
-            confirm_sent: 0,
+            local_lease: LocalLease::default(),
+            confirm_sent_offset: 0,
             last_tick: Instant::ZERO,
             revalidation: None,
             dirty: Vec::new(),
@@ -251,35 +253,35 @@
         }
     }
 
-    /// A caller asks. The row returned names the request in all effects, also in a refusal that
-    /// `out` holds already.
+    /// Submit a new request. The returned key identifies the request in all effects, including a
+    /// refusal already pushed to `out`.
     pub fn ask(&mut self, ask: Ask, now: Instant, out: &mut Effects) -> RequestKey {
-        systems::gossip::notice_pause(self, now, out);
+        systems::gossip::detect_pause(self, now, out);
         systems::admit::ask(self, ask, now, out)
     }
 
-    /// Take one event.
+    /// Process one event.
     pub fn handle(&mut self, event: Event, now: Instant, out: &mut Effects) {
-        systems::gossip::notice_pause(self, now, out);
+        systems::gossip::detect_pause(self, now, out);
         match event {
-            Event::Drained { request, tokens } => systems::deliver::drained(self, request, tokens),
-            Event::HungUp(request) => systems::finish::hung_up(self, request, out),
+            Event::Drained { request, tokens } => systems::deliver::consumed(self, request, tokens),
+            Event::HungUp(request) => systems::finish::disconnected(self, request, out),
             Event::StepsDone { call, results } => {
                 systems::accept::steps_done(self, call, results, now, out);
             }
             Event::StepsFailed { call, failure } => {
-                systems::shift::call_failed(self, call, failure, now, out);
+                systems::failover::call_failed(self, call, failure, now, out);
             }
             Event::Called {
                 request,
                 target,
                 result,
-            } => systems::service::called(self, request, target, result, now, out),
+            } => systems::service::call_done(self, request, target, result, now, out),
             Event::KvMoved {
                 request,
                 to,
                 positions,
-            } => systems::relocate::moved(self, request, to, positions, now, out),
+            } => systems::relocate::kv_moved(self, request, to, positions, now, out),
             Event::Probed { target, up } => systems::health::probed(self, target, up, now, out),
             Event::Appended { seq, confirmed } => systems::claims::appended(self, seq, confirmed),
             Event::ClaimsRead(records) => systems::claims::read(self, &records, now, out),
@@ -300,7 +302,7 @@
         }
     }
 
-    /// The chain that a request for `model` would get now, as the engines' rows.
+    /// Return the engines of the chain that a request for `model` would be assigned now.
     pub fn choose_chain(&mut self, model: &str) -> Option<Vec<TargetKey>> {
         let layers = self.config.served(model)?.model.layers;
         let engines = self.engines.get(model)?;
@@ -308,15 +310,15 @@
         Some(chosen.into_iter().map(|stage| stage.target).collect())
     }
 
-    /// Take part in the failure domain, as this member and, at times, as its steward.
+    /// Join the failure domain as `me`, and start competing for its lease.
     pub fn join(&mut self, me: MemberState, now: Instant) {
         systems::gossip::join(self, me, now);
         self.start_timer(now, Timer::Steward);
     }
 
-    /// Run what is due: timers, then appends, then dispatch.
+    /// Run everything that is due: expired timers, then appends, then dispatch.
     pub fn tick(&mut self, now: Instant, out: &mut Effects) {
-        systems::gossip::notice_pause(self, now, out);
+        systems::gossip::detect_pause(self, now, out);
         while let Some(timer) = self.pop_due(now) {
             systems::timers::fire(self, timer, now, out);
         }
@@ -325,57 +327,57 @@
         systems::dispatch::run(self, now, out);
     }
 
-    /// When the next timer is due.
+    /// Return the time at which the next timer expires.
     pub fn next_due(&self) -> Option<Instant> {
         self.timers.peek().map(|Reverse((at, _))| *at)
     }
 
-    /// The other daemons of the failure domain that are live.
+    /// Iterate over the other live daemons of the failure domain.
     pub fn live_members(&self, now: Instant) -> impl Iterator<Item = &MemberState> {
         self.members.live(now)
     }
 
-    /// What this daemon tells of itself.
+    /// The state of this daemon as advertised by gossip.
     pub fn me(&self) -> &MemberState {
         &self.members.me
     }
 
-    /// Whether this daemon is to follow the log closely, as of the last round of gossip.
+    /// Whether this daemon should tail the log closely, as of the last gossip round.
     pub fn is_reader(&self) -> bool {
         self.reader
     }
 
-    /// What a daemon that has folded the configuration records below `next` lacks.
+    /// Return the configuration that a daemon lacks which has folded the records below `next`.
     pub fn config_for(&self, next: u64) -> systems::gossip::PeerConfig {
         systems::gossip::config_for(self, next)
     }
 
-    /// What the log says of the failure domains.
+    /// The state of all failure domains as recorded in the log.
     pub fn domains(&self) -> &Domains {
         &self.domains
     }
 
-    /// Whether this daemon is the steward of its domain now.
+    /// Whether this daemon currently holds the lease of its failure domain.
     pub fn is_steward(&self, now: Instant) -> bool {
-        self.tenure.is_held(now, Duration::ZERO)
+        self.local_lease.is_held(now, Duration::ZERO)
     }
 
-    /// Whether no request is left.
+    /// Whether there are no requests.
     pub fn is_idle(&self) -> bool {
         self.requests.is_empty()
     }
 
-    /// Bytes of stage inputs kept for replay.
+    /// Number of bytes of stage inputs retained for replay.
     pub fn kept_bytes(&self) -> usize {
         self.kept_bytes
     }
 
-    /// Keys known from the claim stream.
+    /// Number of keys known from the claim stream.
     pub fn claims_known(&self) -> usize {
         self.claims.len()
     }
 
-    /// The engine that serves a stage of a running request.
+    /// Name of the engine that serves a stage of a running request.
     pub fn serving(&self, request: RequestKey, stage: usize) -> Option<&str> {
         let Progress::Running(running) = &self.requests.get(request)?.progress else {
             return None;
@@ -384,7 +386,7 @@
         Some(self.targets.get(target)?.name.as_str())
     }
 
-    /// The call and attempt that a running request awaits.
+    /// The call and the attempt that a running request awaits.
     pub fn awaited_call(&self, request: RequestKey) -> Option<(CallKey, u32)> {
         let Progress::Running(running) = &self.requests.get(request)?.progress else {
             return None;
@@ -393,8 +395,8 @@
         Some((call, running.attempt))
     }
 
-    /// What the future decisions on requests depend on, for comparing states in a model check.
-    /// Counters, estimates of time and the generator's state are left out.
+    /// The state that future decisions on requests depend on, for comparing states in a model
+    /// checker. Excludes counters, latency estimates and the state of the random number generator.
     pub fn decision_state(&self) -> DecisionState<'_> {
         DecisionState {
             requests: self.requests.iter().collect(),
@@ -407,29 +409,30 @@
         }
     }
 
-    /// The row of the target called `name`.
+    /// Look up a target by name.
     pub fn target_named(&self, name: &str) -> Option<TargetKey> {
         self.target_by_name.get(name).copied()
     }
 
-    /// Whether every claim of the claim window is known, so that keyed requests are taken.
+    /// Whether every claim of the claim window is known, so that keyed requests are accepted.
     pub fn claims_ready(&self) -> bool {
         self.claims_ready
     }
 
-    /// The boxes of the live list and whether each is leaving; none before it was read.
+    /// Iterate over the boxes of the live list and whether each is leaving. Empty until the list
+    /// has been read.
     pub fn boxes(&self) -> impl Iterator<Item = (&str, bool)> {
         let boxes = self.boxes.iter().flatten();
         boxes.map(|(name, leaving)| (name.as_str(), *leaving))
     }
 
-    /// Requests that the account called `name` has running or waiting.
+    /// Number of running or waiting requests of the account `name`.
     pub fn running_of(&self, name: &str) -> u32 {
         let key = self.account_by_name.get(name);
         key.map_or(0, |key| self.accounts[*key].running)
     }
 
-    /// A running completion.
+    /// Return a running completion.
     pub(crate) fn running(&mut self, request: RequestKey) -> Option<&mut Running> {
         self.requests.get_mut(request)?.running()
     }
