--- a/reachtally-core/src/chain.rs
+++ b/reachtally-core/src/chain.rs
@@ -1,4 +1,4 @@
-//! Chains: the engines that together cover a model's layers, and the choice among them.
+//! Chains of engines that together cover the layers of a model, and how a chain is chosen.
 
 use std::collections::BTreeMap;
 
@@ -19,62 +19,63 @@
     pub layers: Layers,
 }
 
-/// A fault in a chain.
+/// An invalid chain.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ChainError {
-    /// No stage at all.
+    /// The chain has no stages.
     Empty,
-    /// A stage begins at `found` where layer `expected` is due: a gap or an overlap.
+    /// A stage starts at layer `found` instead of `expected`, which leaves a gap or an overlap.
     Discontinuous {
-        /// The layer due.
+        /// The expected first layer.
         expected: u32,
-        /// The layer the stage begins with.
+        /// The actual first layer.
         found: u32,
     },
-    /// The last stage ends before the model does, or after.
+    /// The last stage ends before or after the last layer of the model.
     WrongEnd {
-        /// The model's number of layers.
+        /// The number of layers of the model.
         expected: u32,
         /// The end of the last stage.
         found: u32,
     },
 }
 
-/// Check that `stages` covers `0..layers` in order, each layer once.
+/// Check that `stages` covers `0..layers` in order and exactly once.
 ///
 /// # Errors
-/// The first fault found from layer 0 on.
+/// Returns the first fault, scanning from layer 0.
 pub fn check(stages: &[Layers], layers: u32) -> Result<(), ChainError> {
     if stages.is_empty() {
         return Err(ChainError::Empty);
     }
-    let mut due = 0;
+    let mut next_layer = 0;
     for stage in stages {
-        if stage.first != due || stage.end <= stage.first {
+        if stage.first != next_layer || stage.end <= stage.first {
             return Err(ChainError::Discontinuous {
-                expected: due,
+                expected: next_layer,
                 found: stage.first,
             });
         }
-        due = stage.end;
+        next_layer = stage.end;
     }
-    if due != layers {
+    if next_layer != layers {
         return Err(ChainError::WrongEnd {
             expected: layers,
-            found: due,
+            found: next_layer,
         });
     }
     Ok(())
 }
 
-/// Random share by which an engine's cost is varied, so that daemons which see the same figures
-/// don't all choose the same engine.
+/// Fraction by which the cost of an engine is randomly varied, so that daemons with the same
+/// measurements do not all choose the same engine.
 const JITTER: f64 = 0.1;
-/// Engines of one range that are looked at, drawn at random. A few suffice to avoid the bad ones; to
-/// look at all would cost in proportion to the fleet and send every daemon to the same best one.
+/// Number of engines sampled at random per layer range. A few suffice to avoid slow engines;
+/// evaluating all of them would take time proportional to the fleet and would send every daemon to
+/// the same best engine.
 const SAMPLE_SIZE: usize = 4;
 
-/// The engines of a model that hold the same layers.
+/// The engines of a model that hold the same layer range.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Group {
     /// The layers.
@@ -83,7 +84,7 @@
     pub members: Vec<TargetKey>,
 }
 
-/// Sort engines into groups, by first layer.
+/// Group engines by layer range, sorted by first layer.
 pub fn group(engines: &[TargetKey], targets: &SlotMap<TargetKey, Target>) -> Vec<Group> {
     let mut by_layers: BTreeMap<Layers, Vec<TargetKey>> = BTreeMap::new();
     for &key in engines {
@@ -97,15 +98,18 @@
         .collect()
 }
 
-/// The groups of a model; none for a model without engines.
-pub fn groups_of<'a>(by_model: &'a BTreeMap<String, Vec<Group>>, model: &str) -> &'a [Group] {
+/// Return the groups of a model, which are empty for a model without engines.
+pub fn groups_for_model<'a>(
+    by_model: &'a BTreeMap<String, Vec<Group>>,
+    model: &str,
+) -> &'a [Group] {
     by_model.get(model).map_or(&[], Vec::as_slice)
 }
 
 type Candidate<'a> = (TargetKey, &'a Target);
 
-/// Up to [`SAMPLE_SIZE`] engines that `usable` lets pass, at random; from all of the group if the draw has
-/// none.
+/// Sample up to [`SAMPLE_SIZE`] engines that satisfy `usable`. Falls back to all usable engines of
+/// the group if none was sampled.
 fn sample_candidates<'a>(
     group: &Group,
     targets: &'a SlotMap<TargetKey, Target>,
@@ -127,9 +131,9 @@
     members.iter().copied().filter_map(usable_target).collect()
 }
 
-/// The cheapest of the candidates with its cost: the predicted time of one decode step, in seconds,
-/// with what runs there. The mean of the measured ones stands in for engines that have not been
-/// measured, so that a new one gets its part of the work.
+/// Return the cheapest candidate and its cost, which is the predicted time of one decode step in
+/// seconds at the engine's current load. Engines without measurements are assigned the mean of the
+/// measured ones, so that a new engine receives its share of the work.
 fn cheapest(candidates: &[Candidate<'_>], rng: &mut ChaCha8Rng) -> Option<(f64, TargetKey)> {
     let measured = candidates
         .iter()
@@ -156,20 +160,21 @@
     target.latency.expected(1).as_secs_f64()
 }
 
-/// Why no chain could be chosen.
+/// Error returned when no chain could be chosen.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ChainUnavailable {
-    /// Live engines don't cover the layers.
+    /// The live engines do not cover the layers.
     Uncovered,
-    /// They do, but none of some range has a free slot.
+    /// The live engines cover the layers, but every engine of some range is full.
     Full,
 }
 
-/// Choose a cheap chain over `0..layers`: the shortest path over layer boundaries, each group giving
-/// the cheapest of a few of its engines. The work grows with the number of groups, not of engines.
+/// Choose a low-cost chain over `0..layers` by a shortest-path search over layer boundaries, where
+/// the cost of a group is that of the cheapest engine in a small sample. The running time depends
+/// on the number of groups, not of engines.
 ///
 /// # Errors
-/// [`ChainUnavailable`] if the engines that take work don't cover the layers.
+/// [`ChainUnavailable`] if the engines that take work do not cover the layers, or are full.
 pub fn choose(
     groups: &[Group],
     targets: &SlotMap<TargetKey, Target>,
@@ -196,7 +201,7 @@
 ) -> Option<Vec<Stage>> {
     let mut best: Vec<Option<(f64, Stage)>> = vec![None; layers as usize + 1];
     for group in groups.iter().filter(|group| group.layers.end <= layers) {
-        let reached = match best[group.layers.first as usize] {
+        let cost_so_far = match best[group.layers.first as usize] {
             _ if group.layers.first == 0 => 0.0,
             Some((cost, _)) => cost,
             None => continue,
@@ -206,9 +211,9 @@
             continue;
         };
         let end = &mut best[group.layers.end as usize];
-        if end.is_none_or(|(least, _)| reached + cost < least) {
+        if end.is_none_or(|(least, _)| cost_so_far + cost < least) {
             let layers = group.layers;
-            *end = Some((reached + cost, Stage { target, layers }));
+            *end = Some((cost_so_far + cost, Stage { target, layers }));
         }
     }
     reconstruct_path(&best, layers)
@@ -226,17 +231,17 @@
     Some(stages)
 }
 
-/// Choose another engine than `not` with exactly the range `layers`, a cheap one. A full engine is
-/// taken too: a request under way goes before a new one.
+/// Choose a low-cost engine other than `excluded` that holds exactly `layers`. Full engines are
+/// included, since running requests take precedence over new ones.
 pub fn replacement(
     groups: &[Group],
     targets: &SlotMap<TargetKey, Target>,
     layers: Layers,
-    not: TargetKey,
+    excluded: TargetKey,
     rng: &mut ChaCha8Rng,
 ) -> Option<TargetKey> {
     let group = groups.iter().find(|group| group.layers == layers)?;
-    let usable = |key: TargetKey, target: &Target| key != not && target.takes_work();
+    let usable = |key: TargetKey, target: &Target| key != excluded && target.takes_work();
     let candidates = sample_candidates(group, targets, usable, rng);
     cheapest(&candidates, rng).map(|(_, target)| target)
 }
--- a/reachtally-core/src/counters.rs
+++ b/reachtally-core/src/counters.rs
@@ -1,6 +1,6 @@
-//! What is counted. The daemon turns the differences into metrics.
+//! Counters, whose increments the daemon exports as metrics.
 
-/// A table of counters, each with its meaning.
+/// Define a struct of counters together with their names and descriptions.
 macro_rules! counters {
     ($(#[$table_doc:meta])* $table:ident { $($(#[doc = $doc:literal])* $name:ident,)* }) => {
         $(#[$table_doc])*
@@ -10,12 +10,12 @@
         }
 
         impl $table {
-            /// Each counter by its metric name.
+            /// Iterate over the counters by metric name.
             pub fn each(&self) -> impl Iterator<Item = (&'static str, u64)> {
                 [$((stringify!($name), self.$name),)*].into_iter()
             }
 
-            /// What each counter means, in the same order.
+            /// Iterate over the descriptions, in the same order.
             pub fn meanings() -> impl Iterator<Item = &'static str> {
                 [$(concat!($($doc),*),)*].into_iter()
             }
@@ -34,9 +34,9 @@
         requests_not_run,
         /// Requests that ended with an unknown outcome.
         requests_unknown,
-        /// Requests given up because one engine after the other was lost under a step.
+        /// Requests given up because engines were lost in a row under one step.
         requests_engines_lost,
-        /// Requests whose caller hung up.
+        /// Requests whose caller disconnected.
         requests_abandoned,
         /// Tokens delivered to callers.
         tokens_delivered,
@@ -44,33 +44,33 @@
         engine_calls,
         /// Steps sent to engines.
         engine_steps,
-        /// Step results dropped because they were not the ones awaited (late, doubled or crossed).
+        /// Step results dropped because they were not awaited (late, duplicate or superseded).
         results_dropped,
-        /// Calls to engines that failed or were given up on.
+        /// Calls to engines that failed or timed out.
         engine_calls_failed,
         /// Stages replaced in running requests.
         stages_shifted,
         /// Stages restored by replaying their own inputs.
         restored_by_replay,
-        /// Chains restored by prefilling every stage anew.
+        /// Chains restored by prefilling every stage again.
         restored_by_prefill,
         /// Stages moved by export and import of their KV.
         restored_by_import,
-        /// Stages restored on an engine that followed them as a standby.
+        /// Stages restored on their standby.
         restored_from_standby,
         /// Spans sent to standbys.
         standby_spans,
         /// Calls to plain services.
         service_calls,
-        /// Calls to plain services sent again.
+        /// Retries of calls to plain services.
         service_retries,
-        /// Retries that the budget forbade.
+        /// Retries denied by the retry budget.
         retries_denied,
         /// Appends to the claim stream.
         claim_appends,
-        /// Claims and outcomes carried by those appends.
+        /// Claims, releases and outcomes in those appends.
         claim_entries,
-        /// Appends whose answer was lost.
+        /// Appends whose response was lost.
         claim_answers_lost,
         /// Requests answered from a recorded outcome.
         answered_from_record,
@@ -78,11 +78,11 @@
         config_folded,
         /// Configuration operations rejected as conflicts.
         config_conflicts,
-        /// Times this daemon found that it had been paused.
+        /// Detected pauses of this daemon.
         pauses_noticed,
-        /// Orders given to targets.
+        /// Orders sent to targets.
         orders_given,
-        /// Orders withheld because the lease was not held with enough margin.
+        /// Orders withheld because too little of the lease was left.
         orders_withheld,
     }
 }
--- a/reachtally-core/src/declare.rs
+++ b/reachtally-core/src/declare.rs
@@ -1,11 +1,11 @@
-//! The objects that operators declare: models, targets, services, accounts.
+//! The objects that operators declare: models, adapters, engines, services and accounts.
 //!
-//! These are the bodies of configuration records in the platform's log and of the YAML files that
-//! operators apply. Units are in the field names.
+//! They are the bodies of configuration records in the platform's log and of the YAML files that
+//! operators apply. Units are part of the field names.
 
 use serde::{Deserialize, Serialize};
 
-/// The kind of a declared object; with the name it is the object's identity.
+/// The kind of a declared object. Kind and name together identify an object.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Kind {
@@ -24,9 +24,9 @@
 /// Half-open range of layers, `first..end`.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Layers {
-    /// The first layer held.
+    /// The first layer.
     pub first: u32,
-    /// One past the last layer held.
+    /// One past the last layer.
     pub end: u32,
 }
 
@@ -43,21 +43,21 @@
     }
 }
 
-/// A model that pipelines serve.
+/// A model served by chains of engines.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Model {
-    /// The name callers use.
+    /// The name used by callers.
     pub name: String,
     /// Number of layers; a chain covers `0..layers`.
     pub layers: u32,
 }
 
-/// An adapter that changes what a model answers; callers name it in the model's place.
+/// An adapter of a model. Callers specify its name instead of that of the model.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Adapter {
-    /// The name callers use.
+    /// The name used by callers.
     pub name: String,
-    /// The model it belongs to.
+    /// The model it applies to.
     pub model: String,
 }
 
@@ -66,7 +66,7 @@
 pub struct Engine {
     /// Unique name.
     pub name: String,
-    /// The box it runs on, as the live list names it.
+    /// The box it runs on, by its name in the live list.
     #[serde(rename = "box")]
     pub box_name: String,
     /// The failure domain of that box.
@@ -77,23 +77,23 @@
     pub model: String,
     /// The layer range it holds.
     pub layers: Layers,
-    /// Requests it can decode at the same time.
+    /// Number of requests it can decode concurrently.
     pub slots: u32,
-    /// Whether it refuses orders that carry an outdated fence.
+    /// Whether it rejects orders with an outdated fence.
     #[serde(default)]
     pub checks_fence: bool,
 }
 
-/// A plain service beside the engines.
+/// A plain service, that is, one that is not an engine.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Service {
-    /// The name in `/services/<name>/...`.
+    /// The name used in `/services/<name>/...`.
     pub name: String,
     /// Base addresses of its instances.
     pub urls: Vec<String>,
-    /// Whether a call may be sent again when its fate is unknown.
+    /// Whether a call may be retried when its outcome is unknown.
     pub repeatable: bool,
-    /// Whether the service itself runs a call once for each idempotency key.
+    /// Whether the service itself executes a call only once per idempotency key.
     #[serde(default)]
     pub deduplicates: bool,
 }
@@ -103,24 +103,25 @@
 pub struct Account {
     /// Unique name.
     pub name: String,
-    /// SHA-256 of each valid key, lower-case hex. Keys themselves are never stored.
+    /// SHA-256 hashes of the valid API keys, in lower-case hex. The keys themselves are never
+    /// stored.
     pub key_hashes: Vec<String>,
-    /// Models it may use.
+    /// Models the account may use.
     pub models: Vec<String>,
-    /// Adapters it may use.
+    /// Adapters the account may use.
     #[serde(default)]
     pub adapters: Vec<String>,
-    /// Services it may call.
+    /// Services the account may call.
     #[serde(default)]
     pub services: Vec<String>,
-    /// Requests it may have running at one entry box.
+    /// Maximum number of running requests per entry box.
     pub max_running: u32,
-    /// Engines run steps of a higher priority first.
+    /// Priority of its steps at engines; higher values run first.
     #[serde(default)]
     pub priority: u32,
 }
 
-/// One declared object.
+/// A declared object.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(tag = "kind", rename_all = "lowercase")]
 pub enum Object {
--- a/reachtally-core/src/effect.rs
+++ b/reachtally-core/src/effect.rs
@@ -1,4 +1,4 @@
-//! What the daemon is to do, as the systems decided it.
+//! Effects: actions the systems request from the daemon.
 
 use crate::claim::ClaimRecord;
 use crate::event::Read;
@@ -12,101 +12,101 @@
 use crate::step::Batch;
 use crate::systems::steward::Order;
 
-/// How a completed request ended.
+/// The answer of a completed request.
 #[derive(Debug, PartialEq, Eq)]
 pub enum Completed {
     /// All tokens were delivered.
     Completion(CompletionEnd),
-    /// The service's answer.
+    /// The response of the service.
     Service(Answer),
-    /// The outcome another daemon run, or an earlier request with the same key, recorded.
+    /// An outcome recorded by another daemon run or by an earlier request with the same key.
     Recorded(Answer),
 }
 
 /// The end of a completion.
 #[derive(Debug, PartialEq, Eq)]
 pub struct CompletionEnd {
-    /// Positions of the prompt.
+    /// Number of prompt positions.
     pub prompt_tokens: u32,
-    /// Tokens generated.
+    /// Number of generated tokens.
     pub completion_tokens: u32,
-    /// Whether the model ended its answer itself.
+    /// Whether the model ended the answer itself.
     pub stopped: bool,
-    /// What was accepted from which engine.
+    /// The engines from which results were accepted.
     pub lineage: Lineage,
-    /// The attempt it ended with.
+    /// The attempt with which the request completed.
     pub attempts: u32,
 }
 
-/// The end of a request.
+/// The final outcome of a request.
 #[derive(Debug, PartialEq, Eq)]
 pub enum Finish {
-    /// The caller has the whole answer.
+    /// The complete answer was delivered.
     Completed(Completed),
-    /// Nothing of it ran.
+    /// The request did not run.
     NotRun(NotRun),
-    /// It may have run.
+    /// The request may have run.
     Unknown(Unknown),
-    /// The caller hung up.
+    /// The caller disconnected.
     Abandoned,
 }
 
-/// A change of state worth a log line.
+/// A state change that is logged.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Change {
-    /// A target is suspected after a failed call.
+    /// A target was marked as suspect after a failed call.
     TargetSuspect(String),
-    /// A suspected target answers again.
+    /// A suspected target responded again.
     TargetUp(String),
-    /// A stage of a running request moved.
+    /// A stage of a running request moved to another engine.
     StageShifted {
-        /// The request's row.
+        /// The request.
         request: RequestKey,
-        /// The engine left.
+        /// The previous engine.
         from: String,
-        /// The engine taken.
+        /// The new engine.
         to: String,
         /// How the KV is restored.
         way: crate::restore::RestoreMethod,
-        /// The position at which it goes on.
+        /// The position at which the request continues.
         position: u32,
     },
-    /// The configuration moved on.
+    /// A configuration operation was folded.
     Config {
-        /// The offset folded.
+        /// Offset of the record.
         offset: u64,
-        /// The operation.
+        /// Id of the operation.
         operation: String,
-        /// Who published it.
+        /// The operator who published the operation.
         actor: String,
-        /// The verdict.
+        /// The result of folding the operation.
         verdict: crate::fold::Verdict,
     },
-    /// Configuration records were lost.
+    /// Configuration records are missing.
     ConfigGap(crate::fold::FoldError),
 }
 
-/// One thing for the daemon to do.
+/// An action for the daemon to perform.
 #[derive(Debug, PartialEq, Eq)]
 pub enum Effect {
     /// Send steps to an engine.
     Steps {
-        /// Names the call in the answering event.
+        /// Identifies the call in the resulting event.
         call: CallKey,
         /// The engine.
         target: TargetKey,
-        /// What to send.
+        /// The steps and releases to send.
         batch: Batch,
     },
     /// Export a request's KV from one engine and import it into another.
     MoveKv {
         /// The request.
         request: RequestKey,
-        /// Its identity towards engines.
+        /// The request id used with engines.
         id: RequestId,
         /// The engine that holds the KV.
         from: TargetKey,
-        /// The engine that takes it.
+        /// The engine that receives the KV.
         to: TargetKey,
     },
     /// Send a call to a service instance.
@@ -117,90 +117,91 @@
         target: TargetKey,
         /// The call.
         call: ServiceCall,
-        /// The idempotency key to pass on.
+        /// The idempotency key to forward.
         key: Option<String>,
     },
-    /// Ask a suspected target whether it answers.
+    /// Probe a suspected target.
     Probe {
         /// The target.
         target: TargetKey,
     },
-    /// Hand a token to the caller.
+    /// Deliver a token to the caller.
     Deliver {
         /// The request.
         request: RequestKey,
-        /// Index of the token in the answer, from 0, without gaps.
+        /// Index of the token in the answer, starting at 0 and without gaps.
         index: u32,
-        /// Its text.
+        /// Text of the token.
         text: String,
     },
-    /// Give the caller the final answer.
+    /// Send the caller the final answer.
     Finish {
         /// The request.
         request: RequestKey,
-        /// How it ended.
+        /// The outcome.
         finish: Finish,
     },
     /// Append a record to the claim stream.
     Append {
-        /// Number of the record within this daemon run.
+        /// Sequence number of the record within this daemon run.
         seq: u64,
         /// The record.
         record: ClaimRecord,
     },
-    /// Send a digest to another daemon.
+    /// Send a gossip digest to another daemon.
     Gossip {
-        /// Its address.
+        /// Address of the other daemon.
         to: String,
-        /// The digest; this daemon's own state comes first.
+        /// The digest, starting with the state of this daemon.
         members: Vec<MemberState>,
     },
     /// Send configuration records to another daemon.
     PushConfig {
-        /// Its address.
+        /// Address of the other daemon.
         to: String,
         /// The records.
         records: Vec<Read<Operation>>,
     },
-    /// Ask another daemon for the configuration records from `next` on.
+    /// Request the configuration records from `next` on from another daemon.
     PullConfig {
-        /// Its address.
+        /// Address of the other daemon.
         from: String,
-        /// The first offset lacking.
+        /// The first missing offset.
         next: u64,
     },
-    /// Ask the log, or else a peer, for configuration records; then report under `nonce`.
+    /// Query the log, falling back to a peer, for configuration records, then report completion
+    /// with `nonce`.
     Revalidate {
-        /// Names the question.
+        /// Identifies the query.
         nonce: u64,
-        /// The first offset lacking.
+        /// The first missing offset.
         next: u64,
-        /// Peers to ask if the log does not answer.
+        /// Peers to query if the log does not respond.
         peers: Vec<String>,
     },
-    /// Append to the stream of failure domains.
+    /// Append a record to the failure domain stream.
     AppendDomain(DomainRecord),
     /// Append a snapshot of the configuration.
     WriteSnapshot(Box<Config>),
-    /// Ask a target what it holds.
+    /// Request a report of a target's state.
     AskReport {
         /// The target.
         target: TargetKey,
     },
-    /// Give a target an order.
+    /// Send an order to a target.
     Order {
         /// The target.
         target: TargetKey,
-        /// The fence.
+        /// Fence of the lease under which the order is given.
         fence: u64,
         /// The order.
         order: Order,
     },
-    /// Log a change of state.
+    /// Log a state change.
     Changed(Change),
 }
 
-/// The effects of one event or tick, in order.
+/// The effects of one event or tick, in order of creation.
 #[derive(Debug, Default)]
 pub struct Effects {
     list: Vec<Effect>,
@@ -212,12 +213,12 @@
         self.list.push(effect);
     }
 
-    /// Take all effects in order.
+    /// Drain all effects in order.
     pub fn drain(&mut self) -> std::vec::Drain<'_, Effect> {
         self.list.drain(..)
     }
 
-    /// The effects so far.
+    /// The effects collected so far.
     pub fn list(&self) -> &[Effect] {
         &self.list
     }
--- a/reachtally-core/src/event.rs
+++ b/reachtally-core/src/event.rs
@@ -1,4 +1,4 @@
-//! What happened, as the daemon reports it to the core.
+//! Events: what the daemon reports to the core.
 
 use crate::claim::ClaimRecord;
 use crate::fold::Operation;
@@ -11,12 +11,12 @@
 use crate::systems::gossip::PeerConfig;
 use crate::systems::steward::Reported;
 
-/// How a call to a target failed.
+/// The way a call to a target failed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum CallFailure {
-    /// Proven: nothing of it ran.
+    /// The call provably did not run.
     NeverStarted(NeverStarted),
-    /// The answer was lost or damaged after a byte may have left.
+    /// The answer was lost or corrupted after at least one byte may have been sent.
     Lost,
 }
 
@@ -25,119 +25,121 @@
 pub struct Read<T> {
     /// Its offset.
     pub offset: u64,
-    /// When the log took it, in milliseconds of the log's own clock.
+    /// When it was appended, in milliseconds of the log's clock.
     pub at_ms: u64,
-    /// Its content.
+    /// The content.
     pub record: T,
 }
 
-/// The live list's word on one box.
+/// The state of one box in the live list.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct BoxSeen {
-    /// The box.
+    /// Name of the box.
     pub name: String,
-    /// Whether it is leaving.
+    /// Whether the box is leaving.
     pub leaving: bool,
-    /// For an entry box, where other daemons reach it.
+    /// For an entry box, the address of its daemon.
     pub peer: Option<Peer>,
 }
 
-/// An entry box on the live list.
+/// An entry box in the live list.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Peer {
-    /// Its failure domain.
+    /// The failure domain.
     pub domain: String,
-    /// Where other daemons reach it.
+    /// The address at which other daemons reach it.
     pub address: String,
 }
 
-/// One thing that happened.
+/// An event.
 #[derive(Debug)]
 pub enum Event {
-    /// A caller's stream took tokens up to this number in all.
+    /// A caller consumed tokens of its stream.
     Drained {
         /// The request.
         request: RequestKey,
-        /// Tokens taken since the last such event.
+        /// Number of tokens consumed since the previous such event.
         tokens: u32,
     },
-    /// A caller hung up.
+    /// A caller disconnected.
     HungUp(RequestKey),
-    /// An engine answered a call.
+    /// An engine responded to a call.
     StepsDone {
         /// The call.
         call: CallKey,
-        /// Results, in any order; steps without one count as lost.
+        /// Results in any order; a step without a result counts as lost.
         results: Vec<StepResult>,
     },
     /// A call to an engine failed.
     StepsFailed {
         /// The call.
         call: CallKey,
-        /// How.
+        /// The failure.
         failure: CallFailure,
     },
-    /// A move of KV ended.
+    /// A move of KV between engines ended.
     KvMoved {
         /// The request.
         request: RequestKey,
-        /// The engine that was to take it.
+        /// The destination engine.
         to: TargetKey,
-        /// The positions that its KV covers there; nothing if it was not moved.
+        /// Number of positions that the KV there covers, or `None` if the move failed.
         positions: Option<u32>,
     },
-    /// A service answered, or the call failed.
+    /// A call to a service completed or failed.
     Called {
         /// The request.
         request: RequestKey,
         /// The instance called.
         target: TargetKey,
-        /// The answer or failure.
+        /// The answer or the failure.
         result: Result<Answer, CallFailure>,
     },
-    /// A probe ended.
+    /// A probe completed.
     Probed {
         /// The target.
         target: TargetKey,
-        /// Whether it answered.
+        /// Whether the target responded.
         up: bool,
     },
-    /// The log answered an append.
+    /// The log responded to an append, or the response was lost.
     Appended {
-        /// Number of the record within this daemon run.
+        /// Sequence number of the record within this daemon run.
         seq: u64,
-        /// Whether the log confirmed it; if not, it may still have taken effect.
+        /// Whether the log confirmed the append. An unconfirmed append may still have taken effect.
         confirmed: bool,
     },
     /// Claim records were read, in order.
     ClaimsRead(Vec<Read<ClaimRecord>>),
     /// Records of the claim stream were lost before they were read.
     ClaimsGap,
-    /// The log has come back from an older copy: claims may be gone that another daemon has acted on.
+    /// The log was restored from an older copy, so claims that another daemon has already acted on
+    /// may be missing.
     ClaimsReturned,
-    /// Every claim of the claim window is known.
+    /// Every claim of the claim window has been read.
     ClaimsCaughtUp,
     /// Configuration records were read, in order.
     ConfigRead(Vec<Read<Operation>>),
-    /// Records of the failure domains were read, in order.
+    /// Failure domain records were read, in order.
     DomainsRead(Vec<Read<DomainRecord>>),
-    /// The log answered an append to the stream of failure domains, or did not.
+    /// An append to the failure domain stream completed, whether confirmed or not.
     DomainAppended,
-    /// Another daemon sent a digest.
+    /// A digest from another daemon arrived.
     Digest(Vec<MemberState>),
-    /// Another daemon, or a snapshot in the log, gave configuration records or a whole one.
+    /// Another daemon, or a snapshot in the log, provided configuration records or a complete
+    /// configuration.
     PeerConfig(PeerConfig),
-    /// The log or a peer, asked after a pause under this number, answered; what it gave was taken.
+    /// The revalidation query with this nonce completed, and its result has been applied.
     Revalidated(u64),
-    /// A target reported itself to the steward.
+    /// A target reported its state to the steward.
     Reported {
         /// The target.
         target: TargetKey,
-        /// What it reported.
+        /// The reported state.
         report: Reported,
     },
     /// The live list was read.
     ListRead(Vec<BoxSeen>),
-    /// Admit nothing any more.
+    /// Stop admitting requests.
     Stop,
 }
--- a/reachtally-core/src/fold.rs
+++ b/reachtally-core/src/fold.rs
@@ -218,7 +218,7 @@
         if self.operations.contains_key(&op.id) {
             return Verdict::Duplicate;
         }
-        self.remember(offset, &op.id);
+        self.record_operation(offset, &op.id);
         if let Some(conflict) = op.edits.iter().find_map(|edit| self.conflict(edit)) {
             return conflict;
         }
@@ -270,7 +270,7 @@
         }
     }
 
-    fn remember(&mut self, offset: u64, id: &str) {
+    fn record_operation(&mut self, offset: u64, id: &str) {
         self.operations.insert(id.to_owned(), offset);
         if self.operations.len() <= REMEMBERED_OPERATIONS {
             return;
--- a/reachtally-core/src/latency.rs
+++ b/reachtally-core/src/latency.rs
@@ -1,27 +1,29 @@
-//! Decayed estimates of step times and the time-out drawn from them.
+//! Exponentially decaying estimates of step times, and the call time-outs derived from them.
 
 use std::time::Duration;
 
-/// The quantile followed.
+/// The estimated quantile.
 const QUANTILE: f64 = 0.95;
-/// Share of the current estimate by which one sample moves it.
+/// Weight of one sample in the estimates.
 const GAIN: f64 = 0.05;
-/// How often a step may exceed the followed quantile's time before it counts as lost. Above 2, so
-/// that a stage at half its speed is never taken for dead.
+/// Multiple of the estimated quantile after which a step counts as lost. Above 2, so that a stage
+/// running at half its speed is not considered dead.
 const TIMEOUT_FACTOR: f64 = 6.0;
-/// Bounds of the time-out: below the floor scheduling noise decides, above the cap nobody waits.
+/// Bounds of the time-out: below the floor, scheduling noise dominates; callers do not wait longer
+/// than the cap.
 const TIMEOUT_FLOOR: Duration = Duration::from_millis(250);
 const TIMEOUT_CAP: Duration = Duration::from_secs(30);
-/// Time assumed for a step over one position before the first sample.
+/// Assumed time in seconds of a step over one position before the first sample.
 const INITIAL_SINGLE: f64 = 0.040;
-/// Time assumed for each position of a span before the first sample.
+/// Assumed time in seconds of each further position of a span before the first sample.
 const INITIAL_POSITION: f64 = 0.001;
-/// The least estimate, so that a quantile can grow from it.
+/// Lower bound of samples in seconds. The quantile is updated by a factor, so it could not
+/// grow from zero.
 const MIN_SECONDS: f64 = 1e-6;
 
-/// A mean and a high quantile of times in seconds, followed by stochastic approximation: the quantile
-/// moves up by `GAIN * QUANTILE` of itself on a sample above it and down by `GAIN * (1 - QUANTILE)`
-/// on one below, so old samples decay and memory stays constant.
+/// Mean and upper quantile of times in seconds, estimated by stochastic approximation. The quantile
+/// grows by `GAIN * QUANTILE` of its value on a sample above it and shrinks by `GAIN * (1 -
+/// QUANTILE)` of its value on a sample below it, so old samples decay and memory use is constant.
 #[derive(Debug, Clone)]
 struct Estimate {
     quantile: f64,
@@ -50,7 +52,8 @@
         }
         self.mean += GAIN * (sample - self.mean);
         if sample > self.quantile {
-            // A sample far above pulls harder, so that a slower stage is followed within a few steps.
+            // Samples far above the estimate have more weight, so that it adapts to a slower stage
+            // within a few steps.
             self.quantile += (GAIN * QUANTILE * self.quantile).max(GAIN * (sample - self.quantile));
         } else {
             self.quantile -= GAIN * (1.0 - QUANTILE) * self.quantile;
@@ -58,8 +61,8 @@
     }
 }
 
-/// Step times of one engine: of a step over one position, and what each further position of a span
-/// adds.
+/// Step times of one engine: the time of a step over one position, and the additional time of each
+/// further position of a span.
 #[derive(Debug, Clone)]
 pub struct Latency {
     single: Estimate,
@@ -76,11 +79,11 @@
 }
 
 impl Latency {
-    /// Take one step's time, which covered `positions` positions.
-    pub fn sample(&mut self, took: Duration, positions: u32) {
-        let took = took.as_secs_f64();
+    /// Add a sample of a step over `positions` positions that elapsed `elapsed`.
+    pub fn sample(&mut self, elapsed: Duration, positions: u32) {
+        let elapsed = elapsed.as_secs_f64();
         if positions <= 1 {
-            return self.single.sample(took);
+            return self.single.sample(elapsed);
         }
         let base = if self.single.measured {
             self.single.mean
@@ -88,15 +91,15 @@
             0.0
         };
         let further = f64::from(positions - 1);
-        self.position.sample((took - base) / further);
+        self.position.sample((elapsed - base) / further);
     }
 
-    /// Whether a step over one position was ever timed.
+    /// Whether a step over one position has been measured.
     pub fn is_measured(&self) -> bool {
         self.single.measured
     }
 
-    /// Mean time of a step over `positions` positions.
+    /// Estimated mean time of a step over `positions` positions.
     pub fn expected(&self, positions: u32) -> Duration {
         let further = f64::from(positions.saturating_sub(1));
         Duration::from_secs_f64(self.single.mean + self.position.mean * further)
--- a/reachtally-core/src/lib.rs
+++ b/reachtally-core/src/lib.rs
@@ -1,9 +1,9 @@
-//! Every decision of the router, without input or output.
+//! The decision logic of the router, free of I/O.
 //!
-//! The [`World`] holds tables of entities. An [`Event`] or a tick runs systems over those tables and
-//! yields typed [`Effect`]s. The caller performs the effects and feeds their results back as events.
-//! Nothing here reads a clock, opens a socket or draws randomness of its own: `now` and the seed are
-//! passed in, so a recorded list of events replays a whole session.
+//! The [`World`] holds tables of entities. An [`Event`] or a tick runs systems over these tables,
+//! which return typed [`Effect`]s. The caller performs the effects and reports their results as
+//! events. The core reads no clock, opens no sockets and has no entropy source: `now` and the
+//! random seed are passed in, so a recorded list of events replays an entire session.
 #![forbid(unsafe_code)]
 #![deny(missing_docs)]
 
--- a/reachtally-core/src/life.rs
+++ b/reachtally-core/src/life.rs
@@ -40,7 +40,7 @@
     AccountLimit,
     /// No chain of live engines covers the model's layers, or no instance of the service is live.
     NoTarget,
-    /// No engine of the chain has a free slot.
+    /// Every live engine of some layer range is full.
     Busy,
     /// The daemon is stopping.
     Stopping,
@@ -55,9 +55,9 @@
     Deadline,
     /// A target refused the request before starting it, and no other target is left to try.
     NeverStarted,
-    /// Engines that started to run the request crashed in a row.
+    /// Engines that had started to run the request were lost, one after another.
     Quarantined,
-    /// The service was at capacity for requests of this priority until the wait expired.
+    /// The service had no capacity in time for a request of this rank.
     Shed,
 }
 
--- a/reachtally-core/src/lineage.rs
+++ b/reachtally-core/src/lineage.rs
@@ -1,15 +1,15 @@
-//! Which engine ran each layer range for each position, as accepted by the router.
+//! Records which engine ran each layer range for each position, as accepted by the router.
 //!
-//! A request has one lineage. Each step names `(request, attempt, position)`; its result is taken
-//! only if it is the one awaited. The lineage keeps, run-length encoded, the attempt and engine
-//! whose result was accepted for each stage and position. An engine's own ledger must show exactly
-//! one forward run for each of those; runs that only rebuild lost KV are marked as restores by the
-//! step itself and are not part of the lineage.
+//! Each request has one lineage. A step is identified by `(request, attempt, position)`, and its
+//! result is accepted only if it is the awaited one. For each stage and position, the lineage
+//! stores the attempt and the engine whose result was accepted, run-length encoded. The ledger kept
+//! by an engine must show exactly one forward run for each of these. Runs that only rebuild lost KV
+//! are marked as restores by their step and are not part of the lineage.
 
 use crate::declare::Layers;
 use crate::ids::TargetKey;
 
-/// A run of positions whose results came from one engine under one attempt.
+/// A range of positions whose results came from the same engine under the same attempt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Run {
     /// First position.
@@ -18,9 +18,9 @@
     pub end: u32,
     /// Attempt of the accepted steps.
     pub attempt: u32,
-    /// Engine that ran them.
+    /// The engine that ran the steps.
     pub target: TargetKey,
-    /// The layers it ran.
+    /// The layers of that stage.
     pub layers: Layers,
 }
 
@@ -30,7 +30,7 @@
     runs: Vec<Run>,
 }
 
-/// A fault in a lineage.
+/// An inconsistent lineage.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum LineageError {
     /// Layer `layer` of position `position` was accepted `times` times instead of once.
@@ -39,13 +39,13 @@
         position: u32,
         /// The layer.
         layer: u32,
-        /// How often it was accepted.
+        /// Number of times it was accepted.
         times: u32,
     },
 }
 
 impl Lineage {
-    /// Record that the result for `from..end` was accepted.
+    /// Record that the results of `run` were accepted.
     pub fn accept(&mut self, run: Run) {
         let same = self.runs.iter_mut().rev().find(|r| {
             r.end == run.from
@@ -59,7 +59,7 @@
         }
     }
 
-    /// The accepted runs, in order of acceptance.
+    /// Return the accepted runs, in order of acceptance.
     pub fn runs(&self) -> &[Run] {
         &self.runs
     }
@@ -67,7 +67,7 @@
     /// Check that each of `layers` layers was accepted exactly once for each position below `end`.
     ///
     /// # Errors
-    /// The first position and layer with another count.
+    /// Returns the first position and layer that was accepted any other number of times.
     pub fn check(&self, layers: u32, end: u32) -> Result<(), LineageError> {
         for position in 0..end {
             for layer in 0..layers {
--- a/reachtally-core/src/member.rs
+++ b/reachtally-core/src/member.rs
@@ -1,8 +1,9 @@
-//! The daemons of a failure domain as one of them knows them.
+//! The membership of a failure domain as seen by one daemon.
 //!
-//! Each daemon run has a state with a heartbeat that only it raises; the state with the higher
-//! heartbeat wins everywhere. A run that is not heard of for [`MEMBER_TIMEOUT`] counts as gone.
-//! Ranks among the live members are hints on who does what first; nothing rests on them.
+//! Each daemon run advertises a state with a heartbeat that only the run itself increments; the
+//! state with the higher heartbeat replaces the other on every daemon. A run not heard from for
+//! [`MEMBER_TIMEOUT`] counts as gone. Ranks among live members only indicate which member should
+//! act first; correctness does not depend on them.
 
 use std::collections::BTreeMap;
 use std::hash::{DefaultHasher, Hash, Hasher};
@@ -14,29 +15,29 @@
 use crate::ids::Incarnation;
 use crate::time::Instant;
 
-/// Time between two digests that a daemon sends.
+/// Interval between two digests sent by a daemon.
 pub const GOSSIP_INTERVAL: Duration = Duration::from_secs(1);
-/// Time after which a member that is not heard of counts as gone.
+/// Time since the last update after which a member counts as gone.
 pub const MEMBER_TIMEOUT: Duration = Duration::from_secs(30);
-/// Members in one digest, the sender among them.
+/// Maximum number of members in one digest, including the sender.
 pub const DIGEST_MEMBERS: usize = 16;
 
-/// What a daemon run tells of itself.
+/// The state a daemon run advertises.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct MemberState {
-    /// The run.
+    /// The daemon run.
     pub incarnation: Incarnation,
-    /// Its box.
+    /// The box it runs on.
     pub box_name: String,
     /// Its failure domain.
     pub domain: String,
-    /// Where other daemons reach it; empty if it takes no part.
+    /// The address at which other daemons reach it, or empty if it takes no part in gossip.
     pub address: String,
-    /// Raised by the run itself only.
+    /// Incremented only by the run itself.
     pub heartbeat: u64,
-    /// The configuration offset it serves by.
+    /// The configuration offset it serves.
     pub config_next: u64,
-    /// Whether it is stopping.
+    /// Whether the daemon is stopping.
     pub stopping: bool,
 }
 
@@ -49,24 +50,24 @@
 /// The members of the failure domain.
 #[derive(Debug, Clone, Default)]
 pub struct Members {
-    /// This daemon run.
+    /// The state of this daemon run.
     pub me: MemberState,
     others: BTreeMap<Incarnation, PeerState>,
     seeds: Vec<String>,
 }
 
 impl Members {
-    /// Whether this daemon takes part.
+    /// Whether this daemon takes part in gossip.
     pub fn is_gossip_enabled(&self) -> bool {
         !self.me.address.is_empty()
     }
 
-    /// Addresses of entry boxes of the failure domain, from the live list.
+    /// Set the addresses of entry boxes of the failure domain, as found in the live list.
     pub fn set_seeds(&mut self, seeds: Vec<String>) {
         self.seeds = seeds;
     }
 
-    /// Take states that another daemon sent. States of other failure domains are left out.
+    /// Merge states received from another daemon. States of other failure domains are ignored.
     pub fn merge(&mut self, states: Vec<MemberState>, now: Instant) {
         for state in states {
             if state.incarnation == self.me.incarnation || state.domain != self.me.domain {
@@ -83,34 +84,34 @@
         }
     }
 
-    /// Forget members that count as gone for long.
+    /// Remove members that have been gone for a long time.
     pub fn remove_expired(&mut self, now: Instant) {
         self.others
             .retain(|_, known| now.since(known.seen_at) < MEMBER_TIMEOUT * 4);
     }
 
-    /// The live members besides this one.
+    /// Iterate over the live members other than this one.
     pub fn live(&self, now: Instant) -> impl Iterator<Item = &MemberState> {
         let live = move |known: &&PeerState| now.since(known.seen_at) < MEMBER_TIMEOUT;
         self.others.values().filter(live).map(|known| &known.state)
     }
 
-    /// How many live members come before this one for the job named by `salt`; 0 for the first.
-    pub fn rank(&self, salt: &str, now: Instant) -> usize {
-        let own = weight(self.me.incarnation, salt);
-        let before =
-            |state: &&MemberState| !state.stopping && weight(state.incarnation, salt) > own;
+    /// Return the number of live members ranked before this one for the job named `job`, so 0 for
+    /// the first.
+    pub fn rank(&self, job: &str, now: Instant) -> usize {
+        let own = weight(self.me.incarnation, job);
+        let before = |state: &&MemberState| !state.stopping && weight(state.incarnation, job) > own;
         self.live(now).filter(before).count()
     }
 
-    /// The lowest configuration offset that any live member serves by, this one included.
+    /// Return the lowest configuration offset served by any live member, including this one.
     pub fn min_config_offset(&self, now: Instant) -> u64 {
         let others = self.live(now).map(|state| state.config_next);
         others.chain([self.me.config_next]).min().unwrap_or(0)
     }
 
-    /// Up to `count` addresses of other daemons, at random: of live members, and of boxes on the
-    /// live list that were never heard of.
+    /// Return up to `count` random addresses of other daemons, chosen from the live members and
+    /// from boxes of the live list that may not have been heard from yet.
     pub fn peers(&self, count: usize, now: Instant, rng: &mut ChaCha8Rng) -> Vec<String> {
         let mut addresses: Vec<&str> = self.live(now).map(|state| state.address.as_str()).collect();
         addresses.extend(self.seeds.iter().map(String::as_str));
@@ -125,7 +126,7 @@
         chosen
     }
 
-    /// This daemon's state and those of some others, at random.
+    /// Return the state of this daemon and of a random selection of other members.
     pub fn digest(&self, now: Instant, rng: &mut ChaCha8Rng) -> Vec<MemberState> {
         let mut live: Vec<&MemberState> = self.live(now).collect();
         let mut digest = vec![self.me.clone()];
@@ -137,9 +138,9 @@
     }
 }
 
-/// Rendezvous weight of a member for a job.
-fn weight(incarnation: Incarnation, salt: &str) -> u64 {
+/// Rendezvous hashing weight of a member for a job.
+fn weight(incarnation: Incarnation, job: &str) -> u64 {
     let mut hasher = DefaultHasher::new();
-    (incarnation, salt).hash(&mut hasher);
+    (incarnation, job).hash(&mut hasher);
     hasher.finish()
 }
--- a/reachtally-core/src/request.rs
+++ b/reachtally-core/src/request.rs
@@ -1,4 +1,4 @@
-//! Rows of the request table.
+//! The request table.
 
 use std::time::Duration;
 
@@ -12,20 +12,21 @@
 use crate::step::Input;
 use crate::time::Instant;
 
-/// What a caller asks for, as the caller's adapter hands it over.
+/// A request as submitted by the adapter that received it from the caller.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Ask {
-    /// The account's name.
+    /// Name of the account.
     pub account: String,
-    /// The work itself.
+    /// The requested work.
     pub work: Work,
-    /// The key that marks a request which may not be repeated.
+    /// The idempotency key, if any. It marks a completion, or a call to a service that does not
+    /// deduplicate, as non-repeatable.
     pub idempotency_key: Option<String>,
-    /// How long the caller waits.
+    /// How long the caller is willing to wait.
     pub patience: Duration,
 }
 
-/// The work a caller asks for.
+/// The work of a request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Work {
     /// A completion by a model.
@@ -39,119 +40,120 @@
 pub struct Completion {
     /// The name of a model or adapter.
     pub model: String,
-    /// The prompt's text.
+    /// The prompt.
     pub prompt: String,
-    /// The most tokens to generate.
+    /// Maximum number of tokens to generate.
     pub max_tokens: u32,
 }
 
-/// A call to a plain service, passed on as it came.
+/// A call to a plain service, forwarded unchanged.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ServiceCall {
-    /// The service's name.
+    /// Name of the service.
     pub service: String,
     /// HTTP method.
     pub method: String,
-    /// Path and query behind the service's base address, without a leading slash.
+    /// Path and query relative to the service's base address, without a leading slash.
     pub path: String,
-    /// The body's media type.
+    /// Media type of the body.
     pub content_type: Option<String>,
     /// The body.
     pub body: Bytes,
 }
 
-/// A service's answer.
+/// The response of a service.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Answer {
     /// HTTP status.
     pub status: u16,
-    /// The body's media type.
+    /// Media type of the body.
     pub content_type: Option<String>,
     /// The body.
     pub body: Bytes,
 }
 
-/// The step that a request waits for.
+/// The step a request awaits.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Awaited {
     /// Index of the stage in the chain.
     pub stage: usize,
     /// First position of the span.
     pub from: u32,
-    /// First position whose output is wanted.
+    /// First position whose output is required.
     pub outputs_from: u32,
-    /// Number of positions, 0 while only the engine knows it.
+    /// Number of positions, or 0 if only the engine can determine it.
     pub positions: u32,
-    /// Input, until it is sent.
+    /// The input, until the step is sent.
     pub input: Option<Input>,
-    /// The call that carries it, once it is sent.
+    /// The call that carries the step, once it is sent.
     pub call: Option<CallKey>,
 }
 
-/// An engine that follows a stage's KV.
+/// An engine that replicates the KV of a stage.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Standby {
     /// The engine.
     pub target: TargetKey,
-    /// Positions that its KV covers.
+    /// Number of positions its KV covers.
     pub covered: u32,
-    /// The call that brings it up, while one is outstanding.
+    /// The outstanding call that updates it, if any.
     pub call: Option<CallKey>,
 }
 
-/// A move of a stage's KV from one engine to another.
+/// A move of the KV of a stage to another engine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Moving {
     /// Index of the stage.
     pub stage: usize,
-    /// The engine that takes it.
+    /// The destination engine.
     pub to: TargetKey,
 }
 
-/// A completion under way.
+/// A running completion.
 #[derive(Debug)]
 pub struct Running {
-    /// The stages.
+    /// The stages of its chain.
     pub chain: Vec<Stage>,
-    /// The model that runs.
+    /// The model.
     pub model: String,
-    /// The adapter it runs with, empty for none.
+    /// The adapter, or empty for none.
     pub adapter: String,
     /// Priority of its steps.
     pub priority: u32,
-    /// The attempt of the steps now sent.
+    /// The current attempt, carried by every step sent.
     pub attempt: u32,
-    /// The step waited for; nothing while the request waits for its caller or a replacement.
+    /// The awaited step, or `None` while the request waits for its caller to consume tokens.
     pub awaited: Option<Awaited>,
-    /// Positions accepted from each stage.
+    /// Number of positions accepted from each stage.
     pub accepted: Vec<u32>,
-    /// Inputs kept for each stage; the first stage's are `tokens` and the prompt.
+    /// The replay buffer of each stage. The inputs of the first stage are rebuilt from the prompt
+    /// and `tokens` instead.
     pub replay_buffers: Vec<ReplayBuffer>,
-    /// Positions that the prompt takes, once the first stage told.
+    /// Number of positions of the prompt, or 0 until the first stage has reported it.
     pub prompt_positions: u32,
-    /// Tokens generated and accepted.
+    /// The tokens generated and accepted so far.
     pub tokens: Vec<u32>,
-    /// Text generated, kept only where the outcome is to be recorded.
+    /// The generated text, stored only if the outcome is to be recorded.
     pub text: String,
-    /// Tokens handed to the caller's stream and not drained yet.
+    /// Number of tokens delivered to the caller's stream but not yet consumed.
     pub unconsumed: u32,
-    /// What was accepted.
+    /// The results accepted so far.
     pub lineage: Lineage,
-    /// Whether it waits for an engine to take a lost stage's place.
+    /// Whether the request waits for an engine to replace a lost stage.
     pub parked: bool,
     /// The standby of each stage.
     pub standbys: Vec<Option<Standby>>,
-    /// Whether its lost stage waits for the answer of its standby.
+    /// Whether a lost stage waits for the response of its standby.
     pub waits_for_standby: bool,
-    /// Calls lost in a row without an accepted step between.
+    /// Number of calls lost in a row since the last accepted step.
     pub calls_lost: u32,
-    /// The move of a stage that is under way; the stage's step is held back meanwhile.
+    /// The move in progress, if any, during which the stage's step is held back.
     pub moving: Option<Moving>,
 }
 
 impl Running {
-    /// The position from which inputs must be sent so that KV up to `covered` is continued. The
-    /// first stage's prompt can only be sent whole.
+    /// Return the position from which inputs must be sent to extend KV that covers `covered`
+    /// positions. The prompt of the first stage can only be sent as a whole.
     pub fn restore_start(&self, stage: usize, covered: u32) -> u32 {
         if stage == 0 && covered < self.prompt_positions {
             0
@@ -160,8 +162,8 @@
         }
     }
 
-    /// The inputs of a stage for positions `from..end`, if they are kept. For the first stage, `from`
-    /// is 0 or behind the prompt.
+    /// Return the inputs of a stage for the positions `from..end`, if they are available. For the
+    /// first stage, `from` must be 0 or lie after the prompt.
     pub fn stage_input(&self, stage: usize, from: u32, end: u32, prompt: &str) -> Option<Input> {
         if stage > 0 {
             let bytes = self.replay_buffers[stage].span(from, end)?;
@@ -177,45 +179,45 @@
     }
 }
 
-/// How far a request has come.
+/// The progress of a request.
 #[derive(Debug)]
 pub enum Progress {
-    /// Waiting for its claim, or for dispatch.
+    /// Waiting for its claim or for dispatch.
     Waiting,
-    /// A completion on its chain.
+    /// A completion running on its chain.
     Running(Box<Running>),
-    /// A service call at an instance.
+    /// A call running at a service instance.
     Calling {
         /// The instance.
         target: TargetKey,
     },
 }
 
-/// One request.
+/// A row of the request table.
 #[derive(Debug)]
 pub struct Request {
     /// The account.
     pub account: AccountKey,
     /// The work.
     pub work: Work,
-    /// The key of a request that may not be repeated.
+    /// The idempotency key, if any.
     pub key: Option<String>,
-    /// Whether it may be run again when its fate is unknown.
+    /// Whether the request may be run again when its outcome is unknown.
     pub repeatable: bool,
     /// When the caller stops waiting.
     pub deadline: Instant,
-    /// The life cycle; `None` only while a system moves it on.
+    /// The life cycle state; `None` only during a transition.
     pub state: Option<State>,
-    /// How far it has come.
+    /// The progress.
     pub progress: Progress,
-    /// Times it was sent again.
+    /// Number of retries.
     pub retries: u32,
-    /// Service instances that have failed it and are not used again for it.
-    pub tried: Vec<TargetKey>,
+    /// Service instances that failed the request, which are excluded from retries.
+    pub failed_instances: Vec<TargetKey>,
 }
 
 impl Request {
-    /// The running completion, if it is one.
+    /// Return the running completion, if the request is one.
     pub fn running(&mut self) -> Option<&mut Running> {
         match &mut self.progress {
             Progress::Running(running) => Some(running),
@@ -223,7 +225,7 @@
         }
     }
 
-    /// Whether a target may have seen a byte of it.
+    /// Whether a target may have received at least one byte of the request.
     pub fn is_dispatched(&self) -> bool {
         self.state.as_ref().is_some_and(State::is_dispatched)
     }
--- a/reachtally-core/src/restore.rs
+++ b/reachtally-core/src/restore.rs
@@ -1,34 +1,34 @@
-//! Restoring the KV of a stage that was lost: which way, and the inputs kept for it.
+//! Restoring the KV of a lost stage: choice of the method, and the replay buffers.
 
 use std::time::Duration;
 
 use crate::latency::Latency;
 
-/// A way of restoring a stage's KV on its replacement.
+/// A method of restoring the KV of a stage on its replacement.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RestoreMethod {
-    /// Export the KV from an engine that still answers, and import it.
+    /// Export the KV from an engine that still responds, and import it.
     Import,
-    /// Send the inputs that a standby has not seen.
+    /// Continue on a standby, sending only the inputs it has not received.
     Standby,
-    /// Send the stage's own inputs again; no other stage does anything again.
+    /// Send the stage its own inputs again. No other stage repeats any work.
     Replay,
-    /// Run the whole chain again over all positions so far.
+    /// Prefill the whole chain with all positions so far.
     Prefill,
 }
 
-/// What the choice between the ways depends on.
+/// The parameters that the choice of the method depends on.
 #[derive(Debug, Clone, Copy)]
 pub struct RestoreCost<'a> {
-    /// Positions to restore.
+    /// Number of positions to restore.
     pub positions: u32,
-    /// Bytes of one activation; 0 for the first stage, whose inputs are tokens.
+    /// Size of one activation in bytes, or 0 for the first stage, whose inputs are tokens.
     pub activation_len: u32,
-    /// Bytes a second to the replacement.
+    /// Bandwidth of the link to the replacement, in bytes per second.
     pub link_rate: f64,
     /// Step times of the replacement.
     pub replacement: &'a Latency,
-    /// Step times of all stages after the shift, the replacement among them.
+    /// Step times of all stages after the failover, including the replacement.
     pub chain: &'a [&'a Latency],
 }
 
@@ -41,10 +41,11 @@
         transfer + self.replacement.expected(positions)
     }
 
-    /// Time to export and import KV of `layers` layers at `kv_bytes` for each layer and position.
+    /// Time to export and import the KV of `layers` layers, with `kv_bytes` bytes per layer and
+    /// position.
     pub fn import(&self, layers: u32, kv_bytes: u32) -> Duration {
         let bytes = f64::from(self.positions) * f64::from(layers) * f64::from(kv_bytes);
-        // Out of one engine and into the other.
+        // The KV is transferred twice: out of one engine and into the other.
         Duration::from_secs_f64(2.0 * bytes / self.link_rate.max(1.0))
     }
 
@@ -54,7 +55,8 @@
         stages.map(|latency| latency.expected(self.positions)).sum()
     }
 
-    /// The faster way among those possible; `covered` positions need no restore.
+    /// Return the fastest available method. `covered` is the number of positions that need no
+    /// restore.
     pub fn choose(&self, replay_possible: bool, covered: u32) -> RestoreMethod {
         if !replay_possible || self.replay(covered) > self.prefill() {
             RestoreMethod::Prefill
@@ -66,19 +68,20 @@
     }
 }
 
-/// The activations that a stage was sent, kept at the entry box for replay.
+/// The activations sent to a stage, retained at the entry box for replay.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct ReplayBuffer {
     bytes: Vec<u8>,
-    /// First position kept.
+    /// First retained position.
     first: u32,
-    /// One past the last position kept.
+    /// One past the last retained position.
     end: u32,
     dropped: bool,
 }
 
 impl ReplayBuffer {
-    /// Keep the activations of the next `positions` positions. Returns the bytes of memory added.
+    /// Append the activations of the next `positions` positions. Returns the number of bytes
+    /// allocated.
     pub fn push(&mut self, activations: &[u8], positions: u32) -> usize {
         if self.dropped {
             return 0;
@@ -86,7 +89,7 @@
         let before = self.bytes.capacity();
         let needed = self.bytes.len() + activations.len();
         if needed > before {
-            // Grow by a quarter: doubling would leave half of the memory unused.
+            // Grow by a quarter, since doubling would leave up to half of the memory unused.
             self.bytes.reserve_exact(activations.len() + needed / 4);
         }
         self.bytes.extend_from_slice(activations);
@@ -94,7 +97,7 @@
         self.bytes.capacity() - before
     }
 
-    /// Drop what is kept of positions below `first`. Returns the bytes freed.
+    /// Drop the positions below `first`. Returns the number of bytes freed.
     pub fn drop_below(&mut self, first: u32) -> usize {
         let first = first.clamp(self.first, self.end);
         let before = self.bytes.capacity();
@@ -105,21 +108,21 @@
         before - self.bytes.capacity()
     }
 
-    /// Drop what is kept and keep nothing more. Returns the bytes freed.
+    /// Drop all positions and ignore any further ones. Returns the number of bytes freed.
     pub fn drop_all(&mut self) -> usize {
         let freed = self.reset();
         self.dropped = true;
         freed
     }
 
-    /// Start over with nothing kept. Returns the bytes freed.
+    /// Clear the buffer and start over. Returns the number of bytes freed.
     pub fn reset(&mut self) -> usize {
         let freed = self.bytes.capacity();
         *self = ReplayBuffer::default();
         freed
     }
 
-    /// The activations of positions `from..end`, if all of them are kept.
+    /// Return the activations of the positions `from..end`, if all of them are retained.
     pub fn span(&self, from: u32, end: u32) -> Option<&[u8]> {
         if self.dropped || from < self.first || self.end < end || end < from {
             return None;
@@ -130,7 +133,7 @@
         bytes.get(..activation_len * take as usize)
     }
 
-    /// Bytes of one activation, 0 while nothing is kept.
+    /// Size of one activation in bytes, or 0 if the buffer is empty.
     pub fn activation_len(&self) -> u32 {
         let positions = (self.end - self.first) as usize;
         self.bytes.len().checked_div(positions).unwrap_or(0) as u32
--- a/reachtally-core/src/retry.rs
+++ b/reachtally-core/src/retry.rs
@@ -1,13 +1,14 @@
-//! The budget that bounds retries to a fraction of what succeeds.
+//! A retry budget, which limits retries to a fraction of the successful calls.
 
-/// Retries allowed for each success.
+/// Number of retries earned per success.
 const TOKENS_PER_SUCCESS: f64 = 0.1;
-/// Retries that may be saved up.
+/// Maximum number of retries that can accumulate.
 const MAX_TOKENS: f64 = 100.0;
-/// Retries a new daemon starts with.
+/// Number of retries available after startup.
 const INITIAL_TOKENS: f64 = 10.0;
 
-/// A token bucket that successes fill and retries empty, so that retries can't multiply a failure.
+/// A token bucket that is filled by successes and drained by retries, so that retries cannot
+/// amplify an outage.
 #[derive(Debug, Clone)]
 pub struct Budget {
     tokens: f64,
@@ -22,12 +23,12 @@
 }
 
 impl Budget {
-    /// Count a success.
+    /// Record a success.
     pub fn succeeded(&mut self) {
         self.tokens = (self.tokens + TOKENS_PER_SUCCESS).min(MAX_TOKENS);
     }
 
-    /// Take one retry; `false` if the budget is spent.
+    /// Take one retry from the budget. Returns `false` if the budget is exhausted.
     pub fn take(&mut self) -> bool {
         if self.tokens < 1.0 {
             return false;
--- a/reachtally-core/src/step.rs
+++ b/reachtally-core/src/step.rs
@@ -1,4 +1,4 @@
-//! What an engine is asked to do for one token position or span, and what it answers.
+//! Steps, which an engine runs for one position or a span of positions, and their results.
 
 use bytes::Bytes;
 
@@ -7,56 +7,56 @@
 /// The input of a step.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Input {
-    /// For the first stage: the prompt's text, then tokens after it. `text` is empty once the
-    /// engine holds the prompt's positions.
+    /// Input of the first stage: the text of the prompt, followed by tokens. `text` is empty once
+    /// the engine holds the positions of the prompt.
     Tokens {
-        /// Prompt text, or nothing.
+        /// The prompt, or empty.
         text: String,
         /// Token ids that follow the text.
         tokens: Vec<u32>,
     },
-    /// For a later stage: one activation for each position, all of the same length.
+    /// Input of a later stage: one activation per position, all of the same size.
     Activations(Bytes),
 }
 
-/// One stage's work for a span of positions of one request.
+/// The work of one stage for a span of positions of one request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Step {
     /// The request.
     pub request: RequestId,
-    /// The attempt of the lineage; an engine refuses a step of a lower attempt than it has seen.
+    /// Attempt of the lineage. An engine refuses steps of a lower attempt than it has already seen.
     pub attempt: u32,
     /// Position of the first input.
     pub from: u32,
-    /// Number of positions; 0 where only the engine can tell (a prompt's text).
+    /// Number of positions, or 0 if only the engine can determine it (for the text of a prompt).
     pub positions: u32,
-    /// Positions below this one only rebuild KV; their outputs were accepted before.
+    /// Positions below this one only rebuild KV; their outputs have already been accepted.
     pub restore_to: u32,
-    /// The outputs wanted begin at this position.
+    /// First position whose output is required.
     pub outputs_from: u32,
-    /// The adapter to run with, empty for none.
+    /// The adapter, or empty for none.
     pub adapter: String,
-    /// Steps of a higher priority run first.
+    /// Steps of higher priority run first.
     pub priority: u32,
     /// The input.
     pub input: Input,
 }
 
-/// A request whose KV an engine may forget.
+/// A request whose KV an engine may release.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Release {
     /// The request.
     pub request: RequestId,
-    /// Steps of this attempt and lower ones are not to be run any more.
+    /// Steps of this and lower attempts must no longer be run.
     pub attempt: u32,
 }
 
-/// Steps and releases that go to one engine in one call.
+/// The steps and releases sent to one engine in one call.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct Batch {
     /// Steps to run.
     pub steps: Vec<Step>,
-    /// Requests to forget.
+    /// Requests whose KV may be released.
     pub releases: Vec<Release>,
 }
 
@@ -65,41 +65,41 @@
 pub enum Output {
     /// One activation for each position of the span.
     Activations(Bytes),
-    /// The token that follows the span, from the stage with the last layer.
+    /// The token that follows the span, returned by the stage with the last layer.
     Token {
         /// Token id.
         id: u32,
-        /// Its text.
+        /// Text of the token.
         text: String,
-        /// Whether the model ends its answer here.
+        /// Whether the model ends the answer with this token.
         end: bool,
     },
 }
 
-/// Why an engine did not run a step. In each case it ran no layer of it.
+/// Reason why an engine did not run a step. In every case it ran no layer of the step.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum StepRefusal {
-    /// The engine lacks the KV of the positions before.
+    /// The engine does not hold the KV of the preceding positions.
     KvMissing,
-    /// The engine has seen a higher attempt of the request.
+    /// The engine has already seen a higher attempt of the request.
     StaleAttempt,
-    /// The engine takes no more work.
+    /// The engine is at capacity.
     Busy,
-    /// The step makes no sense to the engine.
+    /// The engine cannot interpret the step.
     Malformed,
 }
 
-/// An engine's answer to one step.
+/// The result of one step.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct StepResult {
     /// The request.
     pub request: RequestId,
-    /// The attempt of the step answered.
+    /// Attempt of the step.
     pub attempt: u32,
-    /// The first position whose output is given.
+    /// First position with an output.
     pub from: u32,
-    /// The number of positions whose output is given.
+    /// Number of positions with an output.
     pub positions: u32,
-    /// The output, or why the step did not run.
+    /// The output, or the reason why the step did not run.
     pub output: Result<Output, StepRefusal>,
 }
--- a/reachtally-core/src/systems/accept.rs
+++ b/reachtally-core/src/systems/accept.rs
@@ -32,7 +32,7 @@
     };
     sample_latency(world, &done, &results, now);
     if let Some(sent) = standby_step(&done) {
-        standby::answered(world, call, sent, results.first(), now, out);
+        standby::call_done(world, call, sent, results.first(), now, out);
         return world.mark_dirty(done.target);
     }
     for result in results {
@@ -232,8 +232,8 @@
 /// Enforce the limit on replay buffers. The request whose buffer just grew first drops the
 /// positions covered by its standbys, then all positions; it can still be restored by prefill.
 fn shed_replay_buffers(world: &mut World, request: RequestKey) {
-    let most = world.limits.replay_bytes;
-    if world.kept_bytes <= most {
+    let limit = world.limits.replay_bytes;
+    if world.kept_bytes <= limit {
         return;
     }
     let Some(running) = world.requests[request].running() else {
@@ -245,7 +245,7 @@
         kept.drop_below(covered)
     });
     let mut freed: usize = covered.sum();
-    if world.kept_bytes - freed > most {
+    if world.kept_bytes - freed > limit {
         let all = running
             .replay_buffers
             .iter_mut()
@@ -288,5 +288,5 @@
         text,
     });
     standby::token_accepted(world, request);
-    deliver::next_token(world, request, stop, out);
+    deliver::continue_after_token(world, request, stop, out);
 }
--- a/reachtally-core/src/systems/admit.rs
+++ b/reachtally-core/src/systems/admit.rs
@@ -15,8 +15,8 @@
 /// Check a new request, then start it, queue it for its claim, or refuse it.
 pub fn ask(world: &mut World, ask: Ask, now: Instant, out: &mut Effects) -> RequestKey {
     world.counters.requests_received += 1;
-    let verdict = check_admission(world, &ask, now);
-    let account = verdict.as_ref().copied().unwrap_or_default();
+    let admission = check_admission(world, &ask, now);
+    let account = admission.as_ref().copied().unwrap_or_default();
     let repeatable = is_repeatable(world, &ask);
     let life = Life::<Received>::default();
     let deadline = now + ask.patience;
@@ -29,9 +29,9 @@
         state: None,
         progress: Progress::Waiting,
         retries: 0,
-        tried: Vec::new(),
+        failed_instances: Vec::new(),
     });
-    if let Err(refusal) = verdict {
+    if let Err(refusal) = admission {
         refuse(world, key, life, refusal, out);
         return key;
     }
--- a/reachtally-core/src/systems/claims.rs
+++ b/reachtally-core/src/systems/claims.rs
@@ -99,7 +99,7 @@
 /// Handle a log that was restored from an older copy. Refuse new keyed requests until every claim
 /// of the window is known again, and refuse those waiting for their own claim: the first claim of a
 /// key in the restored log may not be the first one that was acted on.
-pub fn returned(world: &mut World, out: &mut Effects) {
+pub fn log_restored(world: &mut World, out: &mut Effects) {
     world.claims_ready = false;
     for request in world.waiting.requests() {
         claim_wait_expired(world, request, out);
@@ -180,11 +180,11 @@
 /// Answer every request that waits for the key with the recorded outcome.
 pub fn answer_waiting(world: &mut World, key: &ClaimKey, outcome: &Recorded, out: &mut Effects) {
     for request in world.waiting.take(key) {
-        let ours = world
+        let undispatched = world
             .requests
             .get(request)
             .is_some_and(|req| !req.is_dispatched());
-        if ours {
+        if undispatched {
             answer(world, request, outcome, out);
         }
     }
--- a/reachtally-core/src/systems/configure.rs
+++ b/reachtally-core/src/systems/configure.rs
@@ -64,7 +64,7 @@
 pub const SNAPSHOT_INTERVAL: u64 = 200;
 
 /// Write a snapshot if one is due and this daemon ranks first in its failure domain. Snapshots
-/// depend only on the records, so several domains may write the same one.
+/// depend only on the records, so it is harmless if several domains write the same one.
 fn snapshot_if_due(world: &mut World, now: Instant, out: &mut Effects) {
     let next = world.config.next();
     let due = next >= world.last_snapshot_offset + SNAPSHOT_INTERVAL;
@@ -141,13 +141,13 @@
 /// if the target had died.
 fn reconcile_targets(world: &mut World) {
     let declared = declared_targets(world);
-    let gone: Vec<(String, TargetKey)> = world
+    let stale: Vec<(String, TargetKey)> = world
         .target_by_name
         .iter()
         .filter(|(name, key)| !is_same(&world.targets[**key], declared.get(*name)))
         .map(|(name, key)| (name.clone(), *key))
         .collect();
-    for (name, key) in gone {
+    for (name, key) in stale {
         world.target_by_name.remove(&name);
         world.targets.remove(key);
     }
--- a/reachtally-core/src/systems/deliver.rs
+++ b/reachtally-core/src/systems/deliver.rs
@@ -9,7 +9,7 @@
 use crate::world::World;
 
 /// Continue after a token was delivered. `stop` is set if the model ended its answer.
-pub fn next_token(world: &mut World, request: RequestKey, stop: bool, out: &mut Effects) {
+pub fn continue_after_token(world: &mut World, request: RequestKey, stop: bool, out: &mut Effects) {
     let req = &world.requests[request];
     let Progress::Running(running) = &req.progress else {
         return;
--- a/reachtally-core/src/systems/failover.rs
+++ b/reachtally-core/src/systems/failover.rs
@@ -39,7 +39,7 @@
     }
     health::suspect(world, failed.target, now, out);
     if let Some(sent) = accept::standby_step(&failed) {
-        standby::answered(world, call, sent, None, now, out);
+        standby::call_done(world, call, sent, None, now, out);
     }
     for sent in failed.steps {
         if !accept::awaits_call(world, sent.request, call) {
@@ -67,10 +67,10 @@
     let Some(req) = world.requests.get_mut(request) else {
         return;
     };
-    let untouched = req
+    let nothing_ran = req
         .running()
         .is_some_and(|running| running.attempt == 1 && running.accepted.iter().all(|n| *n == 0));
-    if !untouched {
+    if !nothing_ran {
         return replace_stage(world, request, now, out);
     }
     req.state = req.state.take().map(|state| state.never_started(proof));
@@ -100,16 +100,16 @@
     let Some(stage) = running.awaited.as_ref().map(|awaited| awaited.stage) else {
         return;
     };
-    let not = running.chain[stage].target;
-    restore_stage(world, request, not, now, out);
+    let excluded = running.chain[stage].target;
+    restore_stage(world, request, excluded, now, out);
 }
 
-/// Move the awaited stage to the best engine other than `not` and restore its KV there. If no
+/// Move the awaited stage to the best engine other than `excluded` and restore its KV there. If no
 /// engine is available, park the request.
 pub fn restore_stage(
     world: &mut World,
     request: RequestKey,
-    not: TargetKey,
+    excluded: TargetKey,
     now: Instant,
     out: &mut Effects,
 ) {
@@ -123,11 +123,11 @@
         return;
     };
     let layers = running.chain[stage].layers;
-    let groups = chain::groups_of(&world.engines, &running.model);
-    if let Some(standby) = usable_standby(world, running, stage, not) {
+    let groups = chain::groups_for_model(&world.engines, &running.model);
+    if let Some(standby) = usable_standby(world, running, stage, excluded) {
         return switch_to_standby(world, request, stage, &standby, now, out);
     }
-    match chain::replacement(groups, &world.targets, layers, not, &mut world.rng) {
+    match chain::replacement(groups, &world.targets, layers, excluded, &mut world.rng) {
         Some(target) => place_stage(world, request, stage, target, KvCoverage::NONE, now, out),
         None => park(world, request, now),
     }
@@ -138,14 +138,14 @@
     world: &World,
     running: &Running,
     stage: usize,
-    not: TargetKey,
+    excluded: TargetKey,
 ) -> Option<Standby> {
     let standby = running.standbys[stage].clone()?;
-    let up = world
+    let available = world
         .targets
         .get(standby.target)
         .is_some_and(Target::takes_work);
-    (up && standby.target != not && (standby.covered > 0 || standby.call.is_some()))
+    (available && standby.target != excluded && (standby.covered > 0 || standby.call.is_some()))
         .then_some(standby)
 }
 
--- a/reachtally-core/src/systems/finish.rs
+++ b/reachtally-core/src/systems/finish.rs
@@ -46,7 +46,7 @@
 
 /// Remove a request from every table and send its caller the final answer.
 pub fn finish(world: &mut World, request: RequestKey, end: Finish, out: &mut Effects) {
-    let left = detach_from_targets(world, request);
+    let detached = detach_from_targets(world, request);
     let Some(req) = world.requests.remove(request) else {
         return;
     };
@@ -54,7 +54,7 @@
         account.running -= 1;
     }
     count(world, &end);
-    let text = left.map(|running| running.text);
+    let text = detached.map(|running| running.text);
     settle_claim(world, request, &req, text, &end, out);
     out.push(Effect::Finish {
         request,
--- a/reachtally-core/src/systems/gossip.rs
+++ b/reachtally-core/src/systems/gossip.rs
@@ -83,7 +83,7 @@
     }
 }
 
-/// Return the configuration that a peer lacks which has folded the records below `next`.
+/// Return the records, or a snapshot, that a peer needs after folding the records below `next`.
 pub fn config_for(world: &World, next: u64) -> PeerConfig {
     let first = world.recent_records.front().map(|read| read.offset);
     if first.is_some_and(|first| first <= next) {
--- a/reachtally-core/src/systems/relocate.rs
+++ b/reachtally-core/src/systems/relocate.rs
@@ -15,8 +15,8 @@
 /// A request with fewer tokens left to generate than this is not moved.
 const MIN_TOKENS_TO_MOVE: u32 = 16;
 
-/// Start moving the stage that `request` awaits at `from` if its box is leaving and a target has
-/// room. Return whether the step is held back because of the move.
+/// Start moving the stage that `request` awaits at `from` if its box is leaving and a replacement
+/// has a free slot. Return whether the step is held back because of the move.
 pub fn try_start(
     world: &mut World,
     request: RequestKey,
@@ -111,15 +111,15 @@
         return;
     };
     let covered = running.accepted[moving.stage];
-    let whole = positions == Some(covered) && is_awaited(running, moving.stage);
+    let complete = positions == Some(covered) && is_awaited(running, moving.stage);
     if let Some(target) = world.targets.get_mut(to) {
         target.running -= 1;
     }
-    let up = world
+    let available = world
         .targets
         .get(to)
         .is_some_and(|target| target.takes_work());
-    if whole && up {
+    if complete && available {
         let kv = KvCoverage {
             covered,
             method: RestoreMethod::Import,
--- a/reachtally-core/src/systems/service.rs
+++ b/reachtally-core/src/systems/service.rs
@@ -50,12 +50,12 @@
 }
 
 fn choose(world: &World, request: RequestKey, service: &str) -> Option<TargetKey> {
-    let tried = &world.requests[request].tried;
+    let failed_instances = &world.requests[request].failed_instances;
     world
         .instances
         .get(service)?
         .iter()
-        .filter(|key| !tried.contains(key))
+        .filter(|key| !failed_instances.contains(key))
         .filter_map(|key| world.targets.get(*key).map(|target| (*key, target)))
         .filter(|(_, target)| target.takes_work())
         .min_by_key(|(_, target)| target.running)
@@ -109,7 +109,7 @@
         req.state = req.state.take().map(|state| state.never_started(proof));
     }
     let may_repeat = req.repeatable || !req.is_dispatched();
-    req.tried.push(target);
+    req.failed_instances.push(target);
     req.retries += 1;
     if may_repeat && req.retries <= MAX_RETRIES && take_retry(world) {
         world.counters.service_retries += 1;
--- a/reachtally-core/src/systems/standby.rs
+++ b/reachtally-core/src/systems/standby.rs
@@ -67,7 +67,7 @@
         return;
     }
     let serving = running.chain[stage];
-    let groups = chain::groups_of(&world.engines, &running.model);
+    let groups = chain::groups_for_model(&world.engines, &running.model);
     let (targets, rng) = (&world.targets, &mut world.rng);
     let found = chain::replacement(groups, targets, serving.layers, serving.target, rng);
     let Some(target) = found.filter(|key| is_idle(&world.targets[*key])) else {
@@ -159,7 +159,7 @@
 
 /// Handle the response of a standby, or its absence: extend its coverage or drop it. A stage that
 /// waits for the standby is then restored.
-pub fn answered(
+pub fn call_done(
     world: &mut World,
     call: CallKey,
     sent: SentStep,
--- a/reachtally-core/src/systems/start.rs
+++ b/reachtally-core/src/systems/start.rs
@@ -65,7 +65,7 @@
     let adapter = served
         .adapter
         .map_or(String::new(), |adapter| adapter.name.clone());
-    let groups = chain::groups_of(&world.engines, &model);
+    let groups = chain::groups_for_model(&world.engines, &model);
     match chain::choose(groups, &world.targets, layers, &mut world.rng) {
         Ok(stages) if !is_whole(&stages, layers) => Err(Refusal::NoTarget),
         Ok(stages) => Ok(new_running(stages, model, adapter, &completion.prompt)),
--- a/reachtally-core/src/target.rs
+++ b/reachtally-core/src/target.rs
@@ -1,4 +1,4 @@
-//! Rows of the target table: engines and service instances as this daemon sees them.
+//! The target table: engines and service instances as seen by this daemon.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -10,87 +10,88 @@
 use crate::time::Instant;
 use crate::world::Load;
 
-/// First wait before a suspected target is probed.
+/// Delay before the first probe of a suspected target.
 const PROBE_FIRST: Duration = Duration::from_millis(200);
-/// Longest wait between probes.
+/// Maximum delay between probes.
 const PROBE_CAP: Duration = Duration::from_secs(5);
 
-/// Whether a target gets work.
+/// The health of a target, which determines whether it receives new work.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Health {
-    /// It answers.
+    /// The target responds.
     Up,
-    /// A call to it failed; it gets no new work until a probe succeeds.
+    /// A call to the target failed. It receives no new work until a probe succeeds.
     Suspect {
-        /// When it is probed next.
+        /// Time of the next probe.
         probe_at: Instant,
-        /// The wait before the probe after that.
+        /// Delay between the next probe and the one after it.
         backoff: Duration,
     },
 }
 
-/// What distinguishes engines from service instances.
+/// The type of a target.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Role {
-    /// An engine with a layer range of a model.
+    /// An engine that holds a layer range of a model.
     Engine {
-        /// The model's name.
+        /// Name of the model.
         model: String,
-        /// The range it holds.
+        /// The layer range.
         layers: Layers,
-        /// Requests it can decode at the same time.
+        /// Number of requests it can decode concurrently.
         slots: u32,
     },
     /// An instance of a plain service.
     Service {
-        /// The service's name.
+        /// Name of the service.
         service: String,
     },
 }
 
-/// One target.
+/// A row of the target table.
 #[derive(Debug)]
 pub struct Target {
     /// Unique name; for a service instance, `service#index`.
     pub name: String,
     /// Base address.
     pub url: String,
-    /// The box it runs on, as the live list names it; empty for services.
+    /// The box it runs on, by its name in the live list; empty for services.
     pub box_name: String,
     /// The failure domain of that box; empty for services.
     pub domain: String,
-    /// Whether it refuses orders that carry an outdated fence.
+    /// Whether it rejects orders with an outdated fence.
     pub checks_fence: bool,
-    /// Engine or service instance.
+    /// Whether it is an engine or a service instance.
     pub role: Role,
-    /// When the steward last asked it for a report.
+    /// When the steward last requested a report.
     pub polled_at: Option<Instant>,
-    /// Since when it has reported itself idle with its drain confirmed.
+    /// Time since which the target has reported itself idle, with its drain confirmed.
     pub idle_since: Option<Instant>,
-    /// Whether it answers.
+    /// The health.
     pub health: Health,
-    /// Whether an operator drained it.
+    /// Whether an operator drained the target.
     pub drained: bool,
-    /// Whether the live list shows its box as leaving or no longer at all.
+    /// Whether its box is leaving according to the live list, or is missing from it.
     pub leaving: bool,
-    /// Requests of this daemon whose chain includes it, or calls to it.
+    /// Number of requests of this daemon whose chain includes the engine, or of calls to the
+    /// service instance.
     pub running: u32,
-    /// Calls outstanding that carry single positions.
+    /// Number of outstanding calls with single positions.
     pub calls: u32,
-    /// Calls outstanding that carry a span.
+    /// Number of outstanding calls with a span.
     pub span_calls: u32,
-    /// Requests whose next step waits to be sent to it.
+    /// Requests whose next step is queued for this target.
     pub ready: VecDeque<RequestKey>,
-    /// Releases that go with the next call.
+    /// Releases to send with the next call.
     pub releases: Vec<Release>,
-    /// Step times.
+    /// Estimated step times.
     pub latency: Latency,
-    /// Whether it is in the dispatch list already.
+    /// Whether the target is already queued for dispatch.
     pub dirty: bool,
 }
 
 impl Target {
-    /// A target that is assumed to answer.
+    /// Create a target that is assumed to be up.
     pub fn new(name: String, url: String, box_name: String, role: Role) -> Self {
         Target {
             name,
@@ -114,18 +115,18 @@
         }
     }
 
-    /// Whether it may be chosen for new work.
+    /// Whether the target may be chosen for new work.
     pub fn takes_work(&self) -> bool {
         self.health == Health::Up && !self.drained && !self.leaving
     }
 
-    /// Whether an engine can hold another request.
+    /// Whether an engine has a free slot.
     pub fn has_slot(&self) -> bool {
         self.engine()
             .is_some_and(|(_, _, slots)| self.running < slots)
     }
 
-    /// Calls outstanding of one kind.
+    /// Number of outstanding calls of one kind.
     pub fn outstanding(&mut self, load: Load) -> &mut u32 {
         match load {
             Load::Singles => &mut self.calls,
@@ -133,7 +134,7 @@
         }
     }
 
-    /// The model and range it serves, if it is an engine.
+    /// The model, layer range and number of slots of an engine; `None` for a service instance.
     pub fn engine(&self) -> Option<(&str, Layers, u32)> {
         match &self.role {
             Role::Engine {
@@ -145,7 +146,8 @@
         }
     }
 
-    /// Suspect it; returns when to probe it, or nothing if it was suspected already.
+    /// Mark the target as suspect. Returns the time of its first probe, or `None` if it was suspect
+    /// already.
     pub fn suspect(&mut self, now: Instant) -> Option<Instant> {
         if self.health != Health::Up {
             return None;
@@ -158,7 +160,7 @@
         Some(probe_at)
     }
 
-    /// A probe failed; returns when to probe it again.
+    /// Handle a failed probe. Returns the time of the next one.
     pub fn probe_failed(&mut self, now: Instant) -> Option<Instant> {
         let Health::Suspect { backoff, .. } = self.health else {
             return None;
--- a/reachtally-core/src/time.rs
+++ b/reachtally-core/src/time.rs
@@ -1,4 +1,4 @@
-//! The instant that every decision works with.
+//! The monotonic time used by all decisions.
 
 use std::ops::{Add, Sub};
 use std::time::Duration;
@@ -10,27 +10,27 @@
 }
 
 impl Instant {
-    /// The moment the daemon started.
+    /// The time at which the daemon started.
     pub const ZERO: Instant = Instant { micros: 0 };
 
-    /// The instant `elapsed` after the daemon's start.
+    /// Return the instant `elapsed` after the start of the daemon.
     pub fn from_elapsed(elapsed: Duration) -> Self {
         Instant {
             micros: elapsed.as_micros() as u64,
         }
     }
 
-    /// The time since the daemon's start.
+    /// Return the time since the start of the daemon.
     pub fn elapsed(self) -> Duration {
         Duration::from_micros(self.micros)
     }
 
-    /// The time since `earlier`, or zero if `earlier` lies after `self`.
+    /// Return the time since `earlier`, or zero if `earlier` is later than `self`.
     pub fn since(self, earlier: Instant) -> Duration {
         Duration::from_micros(self.micros.saturating_sub(earlier.micros))
     }
 
-    /// The instant `span` earlier, or the start if that lies before it.
+    /// Return the instant `span` before this one, or the start of the daemon if that is later.
     pub fn before(self, span: Duration) -> Instant {
         Instant {
             micros: self.micros.saturating_sub(span.as_micros() as u64),
--- a/reachtally-core/src/world.rs
+++ b/reachtally-core/src/world.rs
@@ -286,7 +286,7 @@
             Event::Appended { seq, confirmed } => systems::claims::appended(self, seq, confirmed),
             Event::ClaimsRead(records) => systems::claims::read(self, &records, now, out),
             Event::ClaimsGap => self.claims_ready = false,
-            Event::ClaimsReturned => systems::claims::returned(self, out),
+            Event::ClaimsReturned => systems::claims::log_restored(self, out),
             Event::ClaimsCaughtUp => self.claims_ready = true,
             Event::ConfigRead(records) => systems::configure::read(self, &records, now, out),
             Event::Revalidated(nonce) => systems::gossip::revalidated(self, nonce),
@@ -347,7 +347,7 @@
         self.reader
     }
 
-    /// Return the configuration that a daemon lacks which has folded the records below `next`.
+    /// Return the records, or a snapshot, that a peer needs after folding the records below `next`.
     pub fn config_for(&self, next: u64) -> systems::gossip::PeerConfig {
         systems::gossip::config_for(self, next)
     }
