--- a/reachtally-core/src/systems/deliver.rs
+++ b/reachtally-core/src/systems/deliver.rs
@@ -27,7 +27,7 @@
 }
 
 /// Handle tokens consumed by the caller, and resume the request if it was paused by backpressure.
-pub fn consumed(world: &mut World, request: RequestKey, tokens: u32) {
+pub fn resume(world: &mut World, request: RequestKey, tokens: u32) {
     let window = world.limits.caller_window;
     let Some(running) = world.running(request) else {
         return;
--- a/reachtally-core/src/world.rs
+++ b/reachtally-core/src/world.rs
@@ -264,7 +264,7 @@
     pub fn handle(&mut self, event: Event, now: Instant, out: &mut Effects) {
         systems::gossip::detect_pause(self, now, out);
         match event {
-            Event::Drained { request, tokens } => systems::deliver::consumed(self, request, tokens),
+            Event::Drained { request, tokens } => systems::deliver::resume(self, request, tokens),
             Event::HungUp(request) => systems::finish::disconnected(self, request, out),
             Event::StepsDone { call, results } => {
                 systems::accept::steps_done(self, call, results, now, out);
