--- a/reachtally-core/src/latency.rs
+++ b/reachtally-core/src/latency.rs
@@ -17,13 +17,14 @@
 const INITIAL_SINGLE: f64 = 0.040;
 /// Assumed time in seconds of each further position of a span before the first sample.
 const INITIAL_POSITION: f64 = 0.001;
-/// Lower bound of samples in seconds. The quantile is updated by a factor, so it could not
-/// grow from zero.
+/// Lower bound of samples in seconds. The quantile is updated by a factor, so it could not grow
+/// from zero.
 const MIN_SECONDS: f64 = 1e-6;
 
 /// Mean and upper quantile of times in seconds, estimated by stochastic approximation. The quantile
-/// grows by `GAIN * QUANTILE` of its value on a sample above it and shrinks by `GAIN * (1 -
-/// QUANTILE)` of its value on a sample below it, so old samples decay and memory use is constant.
+/// grows by `GAIN * QUANTILE` of its value on a sample above it and shrinks by
+/// `GAIN * (1 - QUANTILE)` of its value on a sample below it, so old samples decay and memory use
+/// is constant.
 #[derive(Debug, Clone)]
 struct Estimate {
     quantile: f64,
@@ -79,7 +80,7 @@
 }
 
 impl Latency {
-    /// Add a sample of a step over `positions` positions that elapsed `elapsed`.
+    /// Add a sample of a step over `positions` positions that took `elapsed`.
     pub fn sample(&mut self, elapsed: Duration, positions: u32) {
         let elapsed = elapsed.as_secs_f64();
         if positions <= 1 {
--- a/reachtally-core/src/systems/accept.rs
+++ b/reachtally-core/src/systems/accept.rs
@@ -240,9 +240,9 @@
         return;
     };
     let stages = running.replay_buffers.iter_mut().zip(&running.standbys);
-    let covered = stages.map(|(kept, standby)| {
+    let covered = stages.map(|(buffer, standby)| {
         let covered = standby.as_ref().map_or(0, |standby| standby.covered);
-        kept.drop_below(covered)
+        buffer.drop_below(covered)
     });
     let mut freed: usize = covered.sum();
     if world.kept_bytes - freed > limit {
--- a/reachtally-core/src/systems/admit.rs
+++ b/reachtally-core/src/systems/admit.rs
@@ -13,17 +13,17 @@
 use crate::world::{Timer, World};
 
 /// Check a new request, then start it, queue it for its claim, or refuse it.
-pub fn ask(world: &mut World, ask: Ask, now: Instant, out: &mut Effects) -> RequestKey {
+pub fn submit(world: &mut World, request: Ask, now: Instant, out: &mut Effects) -> RequestKey {
     world.counters.requests_received += 1;
-    let admission = check_admission(world, &ask, now);
+    let admission = check_admission(world, &request, now);
     let account = admission.as_ref().copied().unwrap_or_default();
-    let repeatable = is_repeatable(world, &ask);
+    let repeatable = is_repeatable(world, &request);
     let life = Life::<Received>::default();
-    let deadline = now + ask.patience;
+    let deadline = now + request.patience;
     let key = world.requests.insert(Request {
         account,
-        work: ask.work,
-        key: ask.idempotency_key,
+        work: request.work,
+        key: request.idempotency_key,
         repeatable,
         deadline,
         state: None,
@@ -60,7 +60,7 @@
     });
 }
 
-fn check_admission(world: &World, ask: &Ask, now: Instant) -> Result<AccountKey, Refusal> {
+fn check_admission(world: &World, request: &Ask, now: Instant) -> Result<AccountKey, Refusal> {
     if world.stopping {
         return Err(Refusal::Stopping);
     }
@@ -69,10 +69,10 @@
     }
     let key = *world
         .account_by_name
-        .get(&ask.account)
+        .get(&request.account)
         .ok_or(Refusal::UnknownAccount)?;
     let account = &world.accounts[key];
-    match &ask.work {
+    match &request.work {
         Work::Completion(completion) => {
             let name = &completion.model;
             let served = world.config.served(name).ok_or(Refusal::UnknownModel)?;
@@ -101,9 +101,9 @@
 
 /// Return whether the request may be run again when its outcome is unknown. If the service
 /// deduplicates by idempotency key, a call that carries a key is repeatable.
-fn is_repeatable(world: &World, ask: &Ask) -> bool {
-    let Work::Service(call) = &ask.work else {
-        return ask.idempotency_key.is_none();
+fn is_repeatable(world: &World, request: &Ask) -> bool {
+    let Work::Service(call) = &request.work else {
+        return request.idempotency_key.is_none();
     };
     match world
         .config
@@ -111,9 +111,9 @@
         .map(|entry| &entry.object)
     {
         Some(Object::Service(service)) if service.deduplicates => {
-            service.repeatable || ask.idempotency_key.is_some()
+            service.repeatable || request.idempotency_key.is_some()
         }
-        Some(Object::Service(service)) => service.repeatable && ask.idempotency_key.is_none(),
+        Some(Object::Service(service)) => service.repeatable && request.idempotency_key.is_none(),
         _ => false,
     }
 }
--- a/reachtally-core/src/systems/failover.rs
+++ b/reachtally-core/src/systems/failover.rs
@@ -374,7 +374,7 @@
     let freed = running
         .replay_buffers
         .iter_mut()
-        .map(|kept| kept.reset())
+        .map(|buffer| buffer.reset())
         .sum();
     let tokens = running.tokens.len() as u32;
     let awaited = Awaited {
--- a/reachtally-core/src/systems/finish.rs
+++ b/reachtally-core/src/systems/finish.rs
@@ -126,8 +126,8 @@
     }
 }
 
-/// Detach a request from its targets, either to dispatch it again or to end it. Its engines are
-/// told to release its KV. Return the run it was detached from, if it was running.
+/// Detach a request from its targets, either to dispatch it again or to end it, and schedule the
+/// release of its KV there. Return the run it was detached from, if it was running.
 pub fn detach_from_targets(world: &mut World, request: RequestKey) -> Option<Box<Running>> {
     let id = RequestId::new(world.incarnation, request);
     let req = world.requests.get_mut(request)?;
--- a/reachtally-core/src/systems/gossip.rs
+++ b/reachtally-core/src/systems/gossip.rs
@@ -142,10 +142,12 @@
 
 /// Handle the response to the revalidation query `nonce`.
 pub fn revalidated(world: &mut World, nonce: u64) {
-    world.revalidation = world.revalidation.filter(|asked| asked.nonce != nonce);
+    world.revalidation = world.revalidation.filter(|pending| pending.nonce != nonce);
 }
 
 /// Return whether the configuration must be revalidated before anything is admitted.
 pub fn must_revalidate(world: &World, now: Instant) -> bool {
-    world.revalidation.is_some_and(|asked| now < asked.until)
+    world
+        .revalidation
+        .is_some_and(|pending| now < pending.until)
 }
--- a/reachtally-core/src/world.rs
+++ b/reachtally-core/src/world.rs
@@ -255,9 +255,9 @@
 
     /// Submit a new request. The returned key identifies the request in all effects, including a
     /// refusal already pushed to `out`.
-    pub fn ask(&mut self, ask: Ask, now: Instant, out: &mut Effects) -> RequestKey {
+    pub fn ask(&mut self, request: Ask, now: Instant, out: &mut Effects) -> RequestKey {
         systems::gossip::detect_pause(self, now, out);
-        systems::admit::ask(self, ask, now, out)
+        systems::admit::submit(self, request, now, out)
     }
 
     /// Process one event.
