--- a/reachtally-core/src/systems/admit.rs
+++ b/reachtally-core/src/systems/admit.rs
@@ -1,4 +1,4 @@
-//! Admission: who may run what, and whether there is room.
+//! Admission control: permissions, account limits and daemon state.
 
 use std::hash::{DefaultHasher, Hash, Hasher};
 
@@ -12,26 +12,26 @@
 use crate::time::Instant;
 use crate::world::{Timer, World};
 
-/// Judge what a caller asks for; start it, let it wait for its claim, or refuse it.
-pub fn ask(world: &mut World, ask: Ask, now: Instant, out: &mut Effects) -> RequestKey {
+/// Check a new request, then start it, queue it for its claim, or refuse it.
+pub fn submit(world: &mut World, request: Ask, now: Instant, out: &mut Effects) -> RequestKey {
     world.counters.requests_received += 1;
-    let verdict = judge(world, &ask, now);
-    let account = verdict.as_ref().copied().unwrap_or_default();
-    let repeatable = is_repeatable(world, &ask);
+    let admission = check_admission(world, &request, now);
+    let account = admission.as_ref().copied().unwrap_or_default();
+    let repeatable = is_repeatable(world, &request);
     let life = Life::<Received>::default();
-    let deadline = now + ask.patience;
+    let deadline = now + request.patience;
     let key = world.requests.insert(Request {
         account,
-        work: ask.work,
-        key: ask.idempotency_key,
+        work: request.work,
+        key: request.idempotency_key,
         repeatable,
         deadline,
         state: None,
         progress: Progress::Waiting,
         retries: 0,
-        tried: Vec::new(),
+        failed_instances: Vec::new(),
     });
-    if let Err(refusal) = verdict {
+    if let Err(refusal) = admission {
         refuse(world, key, life, refusal, out);
         return key;
     }
@@ -39,7 +39,7 @@
     world.accounts[account].running += 1;
     world.start_timer(deadline, Timer::Deadline(key));
     match claim_key(world, key) {
-        Some(claim) => claims::enter(world, key, claim, now, out),
+        Some(claim) => claims::submit_keyed(world, key, claim, now, out),
         None => start::start(world, key, now, out),
     }
     key
@@ -60,7 +60,7 @@
     });
 }
 
-fn judge(world: &World, ask: &Ask, now: Instant) -> Result<AccountKey, Refusal> {
+fn check_admission(world: &World, request: &Ask, now: Instant) -> Result<AccountKey, Refusal> {
     if world.stopping {
         return Err(Refusal::Stopping);
     }
@@ -69,10 +69,10 @@
     }
     let key = *world
         .account_by_name
-        .get(&ask.account)
+        .get(&request.account)
         .ok_or(Refusal::UnknownAccount)?;
     let account = &world.accounts[key];
-    match &ask.work {
+    match &request.work {
         Work::Completion(completion) => {
             let name = &completion.model;
             let served = world.config.served(name).ok_or(Refusal::UnknownModel)?;
@@ -99,11 +99,11 @@
     Ok(key)
 }
 
-/// Whether the request may run again when its fate is unknown. A service that runs a call once for
-/// each key makes a call with a key repeatable.
-fn is_repeatable(world: &World, ask: &Ask) -> bool {
-    let Work::Service(call) = &ask.work else {
-        return ask.idempotency_key.is_none();
+/// Return whether the request may be run again when its outcome is unknown. If the service
+/// deduplicates by idempotency key, a call that carries a key is repeatable.
+fn is_repeatable(world: &World, request: &Ask) -> bool {
+    let Work::Service(call) = &request.work else {
+        return request.idempotency_key.is_none();
     };
     match world
         .config
@@ -111,14 +111,14 @@
         .map(|entry| &entry.object)
     {
         Some(Object::Service(service)) if service.deduplicates => {
-            service.repeatable || ask.idempotency_key.is_some()
+            service.repeatable || request.idempotency_key.is_some()
         }
-        Some(Object::Service(service)) => service.repeatable && ask.idempotency_key.is_none(),
+        Some(Object::Service(service)) => service.repeatable && request.idempotency_key.is_none(),
         _ => false,
     }
 }
 
-/// The key to claim, for a request that carries one and may not be repeated.
+/// Return the key to claim for a non-repeatable request that carries an idempotency key.
 fn claim_key(world: &World, key: RequestKey) -> Option<ClaimKey> {
     let req = &world.requests[key];
     if req.repeatable {
@@ -130,7 +130,7 @@
     })
 }
 
-/// Digest of a request's work, to tell another request under the same key.
+/// Hash the contents of a request, to detect a different request under the same idempotency key.
 pub fn digest(work: &Work) -> u64 {
     let mut hasher = DefaultHasher::new();
     match work {
