--- a/reachtally-bench/src/admission/play.rs
+++ b/reachtally-bench/src/admission/play.rs
@@ -387,7 +387,7 @@
         };
         let entrance = &self.exchange.boxes[request.at];
         let is_settled = self.timeline.now_us() >= SETTLED_US;
-        let heard = entrance.remote_loads.domains_heard();
+        let heard = entrance.remote_loads.reported_domains();
         let unheard = match (is_settled, heard) {
             (true, _) => 1.0,
             (false, 0) => f64::from(BOXES_ASSUMED),
@@ -547,7 +547,7 @@
             sender.pacer.admitted();
             sender.booking.sent(self.timeline.clock());
             entrance.fleet.begin(&rows, request.job.load.held());
-            entrance.fleet.begin_reading(&rows, request.job.load.prompt);
+            entrance.fleet.begin_prefill(&rows, request.job.load.prompt);
             self.seen.sends += 1;
             let sent = self.engines.send(&self.requests[number].job, now);
             match sent {
@@ -574,7 +574,7 @@
         let request = &self.requests[number];
         let entrance = &mut self.exchange.boxes[request.at];
         let rows = entrance.rows(&request.job.path);
-        entrance.fleet.end_reading(&rows, request.job.load.prompt);
+        entrance.fleet.end_prefill(&rows, request.job.load.prompt);
         entrance.fleet.end(&rows, request.job.load.held());
     }
 
@@ -651,10 +651,10 @@
         let is_in_time = now - request.tried <= objective;
         let entrance = &mut self.exchange.boxes[request.at];
         let rows = entrance.rows(&request.job.path);
-        entrance.fleet.end_reading(&rows, request.job.load.prompt);
+        entrance.fleet.end_prefill(&rows, request.job.load.prompt);
         for key in rows {
             if let Some(engine) = entrance.fleet.get_mut(key) {
-                engine.told_pace(pace, clock);
+                engine.record_slowdown(pace, clock);
             }
         }
         match is_in_time {
--- a/reachtally-bench/src/admission/ways.rs
+++ b/reachtally-bench/src/admission/ways.rs
@@ -7,7 +7,7 @@
     Booking, Bounds, Class, Conditions, Mix, Offer, Order, Pacer, Queue, REACTION, Retry, Running,
     Schedule, Verdict, admit,
 };
-use reachtally_core::forward::budget::SharedBudget;
+use reachtally_core::forward::budget::SharedRetryBudget;
 
 use super::scenario::{OBJECTIVES_US, RANKS};
 use crate::choice::engines::SERVICE;
@@ -75,7 +75,7 @@
     /// Requests that wait, by number.
     pub queue: Queue<usize>,
     /// Second sends.
-    pub budget: SharedBudget,
+    pub budget: SharedRetryBudget,
     /// Requests by rank since the last report.
     pub offered: [f64; CLASSES],
     /// Admission probability by rank, as last told.
@@ -92,7 +92,7 @@
             booking: Booking::default(),
             schedule: Schedule::default(),
             queue: Queue::new(QUEUE_BOUNDS),
-            budget: SharedBudget::default(),
+            budget: SharedRetryBudget::default(),
             offered: [0.0; CLASSES],
             probability: [1.0; CLASSES],
         }
--- a/reachtally-bench/src/boxes.rs
+++ b/reachtally-bench/src/boxes.rs
@@ -6,7 +6,7 @@
 use rand::RngExt;
 use rand_chacha::ChaCha8Rng;
 use reachtally_core::Instant;
-use reachtally_core::forward::fleet::{EngineKey, Entry, Evidence, Fleet};
+use reachtally_core::forward::fleet::{EngineKey, Entry, EntrySource, Fleet};
 use reachtally_core::forward::loads::{self, Collector, Message, RemoteLoads};
 use reachtally_core::forward::path::Path;
 use reachtally_core::ids::Incarnation;
@@ -49,7 +49,7 @@
         let mut fleet = Fleet::default();
         let upsert = |entry: &Entry| {
             fleet
-                .upsert(entry.clone(), Evidence::Written, Instant::ZERO)
+                .upsert(entry.clone(), EntrySource::Written, Instant::ZERO)
                 .0
         };
         let keys = entries.iter().map(upsert).collect();
@@ -164,7 +164,7 @@
             }
             Tick::Sum(number) => {
                 timeline.schedule(SUM_US, tick.into());
-                self.boxes[number].collector.sum_up(timeline.clock());
+                self.boxes[number].collector.update_totals(timeline.clock());
                 None
             }
             Tick::Arrival(number) => self.arrive(number, rng, timeline),
@@ -192,10 +192,12 @@
             }
             return;
         }
-        entrance.collector.hear(report, ip(number), now);
-        entrance.collector.sum_up(now);
-        let others = entrance.collector.all_but(entrance.run);
-        entrance.remote_loads.hear(others, &mut entrance.fleet, now);
+        entrance.collector.receive(report, ip(number), now);
+        entrance.collector.update_totals(now);
+        let others = entrance.collector.all_except(entrance.run);
+        entrance
+            .remote_loads
+            .receive(others, &mut entrance.fleet, now);
         let parts = entrance.collector.parts(entrance.run);
         for to in (0..self.collectors()).filter(|to| *to != number) {
             for part in &parts {
@@ -246,7 +248,7 @@
         match message {
             Message::Report(page) => {
                 let (run, number, is_first) = (page.run, page.number, page.index == 0);
-                entrance.collector.hear_page(page, ip(from), now);
+                entrance.collector.receive_page(page, ip(from), now);
                 if !is_first {
                     return None;
                 }
@@ -256,11 +258,13 @@
                 None
             }
             Message::Part(part) => {
-                entrance.collector.hear_part(part, ip(from), now);
+                entrance.collector.receive_part(part, ip(from), now);
                 None
             }
             Message::Others(others) => {
-                entrance.remote_loads.hear(others, &mut entrance.fleet, now);
+                entrance
+                    .remote_loads
+                    .receive(others, &mut entrance.fleet, now);
                 Some(to)
             }
             // Boxes of a simulation send loads only.
--- a/reachtally-bench/src/choice/play.rs
+++ b/reachtally-bench/src/choice/play.rs
@@ -164,7 +164,7 @@
                 let request = &self.requests[number];
                 let entrance = &mut self.exchange.boxes[request.at];
                 let rows = entrance.rows(&request.path);
-                entrance.fleet.end_reading(&rows, request.load.prompt);
+                entrance.fleet.end_prefill(&rows, request.load.prompt);
             }
             Event::End(number) => {
                 let request = &self.requests[number];
@@ -239,7 +239,7 @@
         };
         let rows = entrance.rows(&path);
         entrance.fleet.begin(&rows, need.held());
-        entrance.fleet.begin_reading(&rows, load.prompt);
+        entrance.fleet.begin_prefill(&rows, load.prompt);
         let number = self.requests.len();
         self.requests.push(Request { at, path, load });
         self.timeline
--- a/reachtally-bench/src/limits/box_state.rs
+++ b/reachtally-bench/src/limits/box_state.rs
@@ -3,9 +3,10 @@
 use std::sync::Arc;
 
 use reachtally_core::Instant;
-use reachtally_core::forward::fleet::{Entry, Evidence, Fleet, TargetRun};
+use reachtally_core::forward::fleet::{Entry, EntrySource, Fleet, TargetRun};
 use reachtally_core::forward::limit::{
-    Allocator, Demand, Extent, PermitRequest, RateLimit, StatedLimit, limited_targets, note_held,
+    Allocator, Demand, PermitRequest, RateLimit, SharingScope, StatedLimit, limited_targets,
+    set_held_permits,
 };
 use reachtally_core::ids::Incarnation;
 
@@ -40,7 +41,7 @@
     /// A box that has just started.
     pub fn new(run: u64, now: Instant) -> Self {
         let mut fleet = Fleet::default();
-        fleet.upsert(entry(), Evidence::Written, now);
+        fleet.upsert(entry(), EntrySource::Written, now);
         BoxState {
             run: Incarnation(run),
             fleet,
@@ -55,13 +56,13 @@
 
     /// The limit that it knows.
     pub fn limit(&self) -> Option<RateLimit> {
-        self.fleet.limit_of(&target())
+        self.fleet.rate_limit_of(&target())
     }
 
     /// The target named this limit in an answer; yields whether it changed.
     pub fn told(&mut self, limit: Option<RateLimit>, now: Instant) -> bool {
         let mut is_changed = false;
-        self.fleet.note(&target(), now, |notice| {
+        self.fleet.update_notice(&target(), now, |notice| {
             is_changed = notice.state_limit(StatedLimit { limit, at: now }, now);
         });
         is_changed
@@ -93,7 +94,7 @@
         if demands.is_empty() {
             return None;
         }
-        note_held(&mut demands, &self.fleet, now);
+        set_held_permits(&mut demands, &self.fleet, now);
         self.number += 1;
         Some(PermitRequest {
             run: self.run,
@@ -104,12 +105,12 @@
 
     /// Fills the buckets of its allocator.
     pub fn refill(&mut self, domains: usize, now: Instant) {
-        let extent = Extent {
+        let scope = SharingScope {
             domains,
-            largest_part: 1.0,
+            max_share: 1.0,
         };
         let limited = limited_targets(&self.fleet);
-        self.allocator.refill(&limited, extent, now);
+        self.allocator.refill(&limited, scope, now);
     }
 }
 
--- a/reachtally-bench/src/limits/play.rs
+++ b/reachtally-bench/src/limits/play.rs
@@ -423,7 +423,7 @@
             self.post(collector, at, Message::Limits(answer));
         }
         if self.setting.way == Way::Demand {
-            return self.sum_up();
+            return self.update_totals();
         }
         let Some(req) = self.boxes[at].request(now) else {
             return;
@@ -474,7 +474,7 @@
     }
 
     /// The demand of all boxes, as of the last report of any: newer than reports over collectors would tell it.
-    fn sum_up(&mut self) {
+    fn update_totals(&mut self) {
         let now = self.timeline.clock();
         if !self.timeline.now_us().is_multiple_of(7) && self.setting.boxes > 100 {
             return;
--- a/reachtally-bench/src/path.rs
+++ b/reachtally-bench/src/path.rs
@@ -11,7 +11,7 @@
 use bpaf::Bpaf;
 use reachtally_core::Instant;
 use reachtally_core::forward::cost::LayerModel;
-use reachtally_core::forward::fleet::{Entry, Evidence, Fleet};
+use reachtally_core::forward::fleet::{Entry, EntrySource, Fleet};
 use reachtally_core::forward::loads::{Collector, own_report};
 use reachtally_core::forward::placement::evaluate::capacity;
 use reachtally_core::forward::placement::{Host, moves};
@@ -69,7 +69,7 @@
     });
     report.add(&name("report"), told, "µs", Goal::None);
     let mut collector = collector(&fleet);
-    let sums = mean_us(rounds, |_| collector.sum_up(Instant::ZERO));
+    let sums = mean_us(rounds, |_| collector.update_totals(Instant::ZERO));
     report.add(&name("sums of 64 boxes"), sums, "µs", Goal::None);
     if engines <= PLANNED_MOST {
         let hosts = hosts(&fleet, &model);
@@ -138,7 +138,7 @@
             card: Some(CARD.into()),
             layers: from..from + HELD,
         };
-        let (key, _) = fleet.upsert(entry, Evidence::Written, Instant::ZERO);
+        let (key, _) = fleet.upsert(entry, EntrySource::Written, Instant::ZERO);
         fleet.begin(&[key], 900.0 * (number % 7) as f64);
     }
     fleet
@@ -150,7 +150,7 @@
     for run in 0..64 {
         let told = own_report(Incarnation(run + 1), 1, fleet, Instant::ZERO);
         let ip = Ipv4Addr::from(0x0A01_0000 + run as u32);
-        collector.hear(told, ip.into(), Instant::ZERO);
+        collector.receive(told, ip.into(), Instant::ZERO);
     }
     collector
 }
--- a/reachtally-bench/src/placement/fleets.rs
+++ b/reachtally-bench/src/placement/fleets.rs
@@ -6,7 +6,7 @@
 use rand_chacha::ChaCha8Rng;
 use reachtally_core::Instant;
 use reachtally_core::forward::cost::{Card, LayerModel};
-use reachtally_core::forward::fleet::{Entry, Evidence, Fleet};
+use reachtally_core::forward::fleet::{Entry, EntrySource, Fleet};
 use reachtally_core::forward::placement::Host;
 use reachtally_core::forward::placement::evaluate::Demand;
 use reachtally_core::forward::select::Aim;
@@ -183,7 +183,7 @@
         card: Some(kind.into()),
         layers: 0..0,
     };
-    let (engine, _) = fleet.upsert(entry, Evidence::Written, Instant::ZERO);
+    let (engine, _) = fleet.upsert(entry, EntrySource::Written, Instant::ZERO);
     Host {
         engine,
         id,
--- a/reachtally-bench/src/relay/boxed.rs
+++ b/reachtally-bench/src/relay/boxed.rs
@@ -9,7 +9,7 @@
 use reachtally_core::forward::budget::BudgetBounds;
 use reachtally_core::forward::cost::{Card, LayerModel};
 use reachtally_core::forward::fleet::Entry;
-use reachtally_core::forward::routes::{Repeat, Route, Service, Shape, Table};
+use reachtally_core::forward::routes::{RepeatPolicy, ResponseShape, Route, Service, Table};
 use reachtally_relay::wire::{Addition, AnswerHead, BadHead, CallHead, Wire};
 use reachtally_relay::{Relay, Settings, listen};
 use tokio::net::TcpListener;
@@ -95,8 +95,8 @@
     table.services.insert("pool".into(), service);
     let route = Route {
         name: "stream".into(),
-        repeat: Repeat::AtMostOnce,
-        shape: Shape::Events {
+        repeat: RepeatPolicy::AtMostOnce,
+        shape: ResponseShape::Events {
             resumable: true,
             gap_objective: None,
         },
--- a/reachtally-bench/src/suspects/play.rs
+++ b/reachtally-bench/src/suspects/play.rs
@@ -7,7 +7,7 @@
 use reachtally_core::forward::fingerprint::Fingerprint;
 use reachtally_core::forward::loads::Message;
 use reachtally_core::forward::quarantine::{
-    AccountDigest, End, Origin, Quarantine, RunDigest, Told, Verdict,
+    AccountDigest, ChangeOrigin, CrashRecord, Quarantine, RunDigest, SuspectReport, Verdict,
 };
 use reachtally_protocol::load;
 
@@ -116,7 +116,7 @@
 struct Datagram {
     from: usize,
     to: usize,
-    told: Vec<Told>,
+    told: Vec<SuspectReport>,
 }
 
 /// One play.
@@ -275,20 +275,20 @@
             self.seen.innocents_refused += 1;
             return;
         }
-        if self.tables[at].acquit(SHARED, now) {
+        if self.tables[at].clear_suspicion(SHARED, now) {
             self.tell(at, None);
         }
     }
 
     fn note_end(&mut self, at: usize, request: Fingerprint, run: RunDigest) {
         let now = self.timeline.clock();
-        let end = End {
+        let end = CrashRecord {
             run,
             had_begun: true,
             is_acquitted: false,
         };
         if self.tables[at]
-            .run_ended(request, ACCOUNT, end, now)
+            .record_crash(request, ACCOUNT, end, now)
             .is_some()
         {
             self.tell(at, None);
@@ -307,10 +307,10 @@
         let now = self.timeline.clock();
         let collectors = DOMAINS.min(self.setting.boxes);
         if at >= collectors {
-            let told = self.tables[at].changes(Origin::Own, now);
+            let told = self.tables[at].changes(ChangeOrigin::Own, now);
             return self.post(at, at % collectors, &told);
         }
-        let told = self.tables[at].changes(Origin::Any, now);
+        let told = self.tables[at].changes(ChangeOrigin::Any, now);
         let reporters = (at..self.setting.boxes).step_by(collectors).skip(1);
         for to in reporters.chain(0..collectors) {
             if to != at && Some(to) != from {
@@ -319,7 +319,7 @@
         }
     }
 
-    fn post(&mut self, from: usize, to: usize, told: &[Told]) {
+    fn post(&mut self, from: usize, to: usize, told: &[SuspectReport]) {
         if told.is_empty() {
             return;
         }
@@ -340,7 +340,7 @@
         let Some(Datagram { from, to, told }) = self.post[place].take() else {
             return;
         };
-        let heard = told.iter().map(|told| self.tables[to].hear(told, now));
+        let heard = told.iter().map(|told| self.tables[to].receive(told, now));
         let is_news = heard.fold(false, |any, news| any | news);
         self.note_stopped(to);
         if is_news && to < DOMAINS {
--- a/reachtally-core/src/forward/admission/mix.rs
+++ b/reachtally-core/src/forward/admission/mix.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use super::Rate;
-use crate::forward::rate::left;
+use crate::forward::rate::decay_factor;
 use crate::time::Instant;
 
 /// Time constant of the distribution. Long enough that a box that receives few requests of the most
@@ -48,8 +48,10 @@
     }
 
     fn decay(&mut self, now: Instant) {
-        let left = left(self.at, now, TIME_CONSTANT);
+        let decay_factor = decay_factor(self.at, now, TIME_CONSTANT);
         self.at = self.at.max(now);
-        self.offered.iter_mut().for_each(|count| *count *= left);
+        self.offered
+            .iter_mut()
+            .for_each(|count| *count *= decay_factor);
     }
 }
--- a/reachtally-core/src/forward/budget.rs
+++ b/reachtally-core/src/forward/budget.rs
@@ -42,20 +42,20 @@
 
 /// Requests and retries of one box to one service, over a sliding window.
 #[derive(Debug, Clone, Default)]
-pub struct SharedBudget {
+pub struct SharedRetryBudget {
     slices: VecDeque<Slice>,
     /// When the run started, if an earlier one may have used part of the budget.
     started: Option<Instant>,
 }
 
-impl SharedBudget {
+impl SharedRetryBudget {
     /// Creates the budget of a box that started at `started`. It keeps the bound even if all boxes
     /// restart at once: with a full share of the ratio for each new run and a slack that grew over
     /// a window, 295 boxes made 2,950 retries in a window that allowed 2,174.
-    pub fn of_box(started: Instant) -> Self {
-        SharedBudget {
+    pub fn starting_at(started: Instant) -> Self {
+        SharedRetryBudget {
             started: Some(started),
-            ..SharedBudget::default()
+            ..SharedRetryBudget::default()
         }
     }
 
--- a/reachtally-core/src/forward/changes.rs
+++ b/reachtally-core/src/forward/changes.rs
@@ -19,7 +19,7 @@
 
 /// The update that a box needs.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Since {
+pub enum Delta {
     /// The whole list.
     Whole,
     /// Targets whose entries changed or were removed.
@@ -28,14 +28,14 @@
 
 /// The latest changes, as ids of targets.
 #[derive(Debug, Default)]
-pub struct Changes {
+pub struct ChangeLog {
     first: u64,
     ids: VecDeque<Arc<str>>,
 }
 
-impl Changes {
+impl ChangeLog {
     /// Records that the entry of a target changed or was removed.
-    pub fn note(&mut self, id: Arc<str>) {
+    pub fn record(&mut self, id: Arc<str>) {
         self.ids.push_back(id);
         if self.ids.len() > MAX_CHANGES {
             self.ids.pop_front();
@@ -56,14 +56,14 @@
     }
 
     /// Returns what changed after `cursor` in the run `run`.
-    pub fn since(&self, cursor: Cursor, run: u64) -> Since {
+    pub fn since(&self, cursor: Cursor, run: u64) -> Delta {
         let Some(start) = self.start(cursor, run) else {
-            return Since::Whole;
+            return Delta::Whole;
         };
         let skipped = (start - self.first) as usize;
         let mut ids: Vec<Arc<str>> = self.ids.iter().skip(skipped).cloned().collect();
         ids.sort_unstable();
         ids.dedup();
-        Since::Changed(ids)
+        Delta::Changed(ids)
     }
 }
--- a/reachtally-core/src/forward/count.rs
+++ b/reachtally-core/src/forward/count.rs
@@ -42,7 +42,7 @@
 
 impl BoxCount {
     /// Receives the count of a failure domain.
-    pub fn hear(&mut self, reported: &DomainCount, now: Instant) {
+    pub fn receive(&mut self, reported: &DomainCount, now: Instant) {
         let new = DomainState {
             boxes: reported.boxes,
             confirmed_at: now,
--- a/reachtally-core/src/forward/era.rs
+++ b/reachtally-core/src/forward/era.rs
@@ -11,10 +11,10 @@
 /// How long after a rollback of the store targets may still rewrite entries that the restored copy
 /// lacks: longer than the three heartbeats of about 1.2 s each after which the entry of an
 /// unresponsive target is dropped.
-pub const REWRITTEN_WITHIN: Duration = Duration::from_secs(4);
+pub const ENTRY_REWRITE_TIME: Duration = Duration::from_secs(4);
 /// How long after a rollback the operator may take to rewrite a configuration that the restored
 /// copy lacks: as long as expired entries take to be written again.
-pub const CONFIGURED_WITHIN: Duration = Duration::from_millis(2500);
+pub const CONFIG_REWRITE_TIME: Duration = Duration::from_millis(2500);
 
 /// Number of rollbacks of the store; 0 for a store that does not report it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default)]
@@ -46,7 +46,7 @@
 
 /// The store's era as known to this box.
 #[derive(Debug, Clone, Copy, Default)]
-pub struct Eras {
+pub struct EraTracker {
     /// The era, once an answer or another box reported it.
     held: Option<Era>,
     /// When this box learned of a change of the era; `None` for the first era it learned of.
@@ -56,7 +56,7 @@
     regressed: Option<Era>,
 }
 
-impl Eras {
+impl EraTracker {
     /// Returns the era if an answer or another box reported it.
     pub fn known(&self) -> Option<Era> {
         self.held
@@ -82,7 +82,7 @@
     ///
     /// # Errors
     /// [`Outdated`] for an outdated answer.
-    pub fn of_answer(
+    pub fn era_of_answer(
         &mut self,
         reported: Option<Era>,
         began: Instant,
@@ -91,7 +91,7 @@
         let held = self.held();
         let reported = reported.unwrap_or(held);
         if reported >= held {
-            if self.hear(reported, Some(now)) {
+            if self.update(reported, Some(now)) {
                 self.regressed = None;
             }
             return Ok(reported);
@@ -100,7 +100,7 @@
             return Err(Outdated);
         }
         if self.regressed != Some(reported) {
-            self.hear(Era(held.0.saturating_add(1)), Some(now));
+            self.update(Era(held.0.saturating_add(1)), Some(now));
             self.regressed = Some(reported);
         }
         Ok(self.held())
@@ -108,7 +108,7 @@
 
     /// Updates the era to `reported`, which began with a rollback at `since`, if any. Returns
     /// whether it is newer.
-    pub fn hear(&mut self, reported: Era, since: Option<Instant>) -> bool {
+    pub fn update(&mut self, reported: Era, since: Option<Instant>) -> bool {
         let is_newer = self.held.is_none_or(|held| reported > held);
         if is_newer {
             self.changed_at = self.held.and(since);
@@ -119,8 +119,8 @@
 
     /// Updates the era from another box, which reports a rollback at `since` into the era
     /// `reported`. Returns whether it is newer.
-    pub fn hear_of_return(&mut self, reported: Era, since: Instant) -> bool {
-        let is_newer = self.hear(reported, Some(since));
+    pub fn receive_rollback(&mut self, reported: Era, since: Instant) -> bool {
+        let is_newer = self.update(reported, Some(since));
         if reported == self.held() && self.changed_at.is_none() {
             self.changed_at = Some(since);
         }
@@ -128,7 +128,7 @@
     }
 
     /// Whether the store was rolled back less than `within` ago.
-    pub fn is_back_since(&self, within: Duration, now: Instant) -> bool {
+    pub fn was_rolled_back_within(&self, within: Duration, now: Instant) -> bool {
         self.changed_at.is_some_and(|at| now.since(at) < within)
     }
 }
--- a/reachtally-core/src/forward/fingerprint.rs
+++ b/reachtally-core/src/forward/fingerprint.rs
@@ -13,7 +13,7 @@
 /// The parts of a request that identify it. The request id and the last event id are not included,
 /// because they differ between attempts.
 #[derive(Debug, Clone, Copy)]
-pub struct Identity<'a> {
+pub struct RequestIdentity<'a> {
     /// The method.
     pub method: &'a str,
     /// The host as sent by the caller; compared case-insensitively.
@@ -32,7 +32,7 @@
 
 impl Fingerprint {
     /// Computes the fingerprint of a request.
-    pub fn of(request: &Identity<'_>) -> Self {
+    pub fn of(request: &RequestIdentity<'_>) -> Self {
         let host = request.host.to_ascii_lowercase();
         let account = request.account.unwrap_or_default();
         let mut hasher = Sha256::new_with_prefix(PURPOSE);
--- a/reachtally-core/src/forward/fleet.rs
+++ b/reachtally-core/src/forward/fleet.rs
@@ -17,7 +17,7 @@
 mod queue;
 
 pub use engine::Engine;
-pub use entry::{Born, Entry, Evidence, RunMark, RunOrder, TargetRun};
+pub use entry::{Entry, EntrySource, RunMark, RunOrder, StartTime, TargetRun};
 pub use health::Health;
 pub use notice::Notice;
 use notice::Notices;
@@ -46,12 +46,12 @@
     /// An entry of the known run updates its row. A restarted target gets a new row, so that
     /// neither the state of its earlier run nor keys of its row apply to it. A delayed entry of an
     /// earlier run is ignored.
-    pub fn upsert(&mut self, entry: Entry, source: Evidence, now: Instant) -> (EngineKey, bool) {
+    pub fn upsert(&mut self, entry: Entry, source: EntrySource, now: Instant) -> (EngineKey, bool) {
         let Some(&key) = self.by_id.get(&entry.id) else {
             return (self.insert(entry, source, now), true);
         };
         let known = &self.engines[key];
-        match entry.run_since(&known.entry) {
+        match entry.run_order(&known.entry) {
             RunOrder::Same => (key, self.update(key, entry, source, now)),
             RunOrder::Earlier if known.was_read_recently(now) => (key, false),
             RunOrder::Earlier | RunOrder::Later => {
@@ -62,7 +62,7 @@
     }
 
     /// Adds a row for a new run.
-    fn insert(&mut self, entry: Entry, source: Evidence, now: Instant) -> EngineKey {
+    fn insert(&mut self, entry: Entry, source: EntrySource, now: Instant) -> EngineKey {
         let id = entry.id.clone();
         let address = entry.address;
         let notice = self.notices.take(&entry.run());
@@ -74,10 +74,10 @@
     }
 
     /// Updates the row of a known run. Returns whether anything changed.
-    fn update(&mut self, key: EngineKey, entry: Entry, source: Evidence, now: Instant) -> bool {
+    fn update(&mut self, key: EngineKey, entry: Entry, source: EntrySource, now: Instant) -> bool {
         let engine = &mut self.engines[key];
         engine.entry_read_at = now;
-        let is_back = source == Evidence::Written && engine.health.entry_written(now);
+        let is_back = source == EntrySource::Written && engine.health.entry_written(now);
         let entry = Entry {
             draining: engine.entry.draining || entry.draining,
             born: entry.born.or(engine.entry.born),
@@ -114,16 +114,16 @@
         &mut self,
         address: SocketAddr,
         key: EngineKey,
-        source: Evidence,
+        source: EntrySource,
         now: Instant,
     ) {
         let holder = self.by_address.get(&address).copied();
         let other = holder.and_then(|holder| self.engines.get(holder));
-        let order = other.map(|other| self.engines[key].entry.run_since(&other.entry));
+        let order = other.map(|other| self.engines[key].entry.run_order(&other.entry));
         let superseded = match order {
             Some(RunOrder::Earlier) => Some(key),
             Some(RunOrder::Later) => holder,
-            Some(RunOrder::Same) => holder.filter(|_| source == Evidence::Written),
+            Some(RunOrder::Same) => holder.filter(|_| source == EntrySource::Written),
             None => None,
         };
         if superseded != Some(key) {
@@ -155,7 +155,7 @@
 
     /// Marks the entry of `id` as missing. Since the store may have lost it, the target stays as a
     /// last resort. Returns whether it was not marked before.
-    pub fn miss(&mut self, id: &str, now: Instant) -> bool {
+    pub fn mark_missing(&mut self, id: &str, now: Instant) -> bool {
         let Some(&key) = self.by_id.get(id) else {
             return false;
         };
@@ -268,13 +268,18 @@
     /// Whether a run was known and its entry was removed. A listing that contains the run does not
     /// prove that it is alive, because the list may be an older copy; only a live target keeps
     /// writing its entry.
-    pub fn is_gone(&self, run: &TargetRun) -> bool {
+    pub fn was_removed(&self, run: &TargetRun) -> bool {
         self.notices.has(run)
     }
 
     /// Updates the notice of a run, with or without a row: its entry may have been removed while it
     /// was running a request.
-    pub fn note(&mut self, run: &TargetRun, now: Instant, change: impl FnOnce(&mut Notice)) {
+    pub fn update_notice(
+        &mut self,
+        run: &TargetRun,
+        now: Instant,
+        change: impl FnOnce(&mut Notice),
+    ) {
         let row = self.find_run(run).and_then(|key| self.engines.get_mut(key));
         match row {
             Some(engine) => change(&mut engine.notice),
@@ -283,7 +288,7 @@
     }
 
     /// Returns the rate limit that a run states, with or without a row.
-    pub fn limit_of(&self, run: &TargetRun) -> Option<RateLimit> {
+    pub fn rate_limit_of(&self, run: &TargetRun) -> Option<RateLimit> {
         let row = self.find_run(run).and_then(|key| self.engines.get(key));
         let notice = match row {
             Some(engine) => Some(engine.notice),
@@ -310,9 +315,9 @@
     }
 
     /// Records a failure of a target.
-    pub fn failed(&mut self, key: EngineKey, now: Instant) {
+    pub fn record_failure(&mut self, key: EngineKey, now: Instant) {
         if let Some(engine) = self.engines.get_mut(key) {
-            engine.health.failed(now);
+            engine.health.record_failure(now);
         }
     }
 
@@ -333,13 +338,13 @@
 
     /// Adds a prompt of `tokens` that the engines `keys` of a path prefill one after the other. It
     /// waits at one of them at a time, so each is charged an equal part.
-    pub fn begin_reading(&mut self, keys: &[EngineKey], tokens: f64) {
+    pub fn begin_prefill(&mut self, keys: &[EngineKey], tokens: f64) {
         let each = tokens / keys.len().max(1) as f64;
         self.change(keys, |engine| engine.reading += each);
     }
 
     /// Removes a prompt from the load once it was prefilled or its request ended.
-    pub fn end_reading(&mut self, keys: &[EngineKey], tokens: f64) {
+    pub fn end_prefill(&mut self, keys: &[EngineKey], tokens: f64) {
         let each = tokens / keys.len().max(1) as f64;
         self.change(keys, |engine| {
             engine.reading = (engine.reading - each).max(0.0)
--- a/reachtally-core/src/forward/fleet/engine.rs
+++ b/reachtally-core/src/forward/fleet/engine.rs
@@ -41,19 +41,19 @@
     /// KV tokens that these requests hold on average while they run.
     pub remote_tokens: f64,
     /// Prompt tokens of other boxes that wait to be prefilled there.
-    pub remote_reading: f64,
+    pub remote_prefill: f64,
     /// Running requests that the target itself last reported, without those of this box.
-    pub others_told: f64,
+    pub reported_remote_running: f64,
     /// Queue lengths that the target stated to this box and to others.
     pub queues: Queues,
     /// When the target last reported its running requests.
-    pub others_told_at: Instant,
+    pub reported_remote_at: Instant,
     /// The slowdown factor that the target last reported to this box, and when.
     slowdown: Option<(f64, Instant)>,
     /// The largest slowdown factor that other boxes report.
-    pub remote_pace: Option<f64>,
+    pub remote_slowdown: Option<f64>,
     /// Number of other boxes to which it accepts no connections.
-    pub remote_silent: u32,
+    pub remote_unresponsive: u32,
     /// Failures and what follows from them.
     pub health: Health,
     /// What the target asked of this box.
@@ -76,13 +76,13 @@
             reading: 0.0,
             remote_running: 0.0,
             remote_tokens: 0.0,
-            remote_reading: 0.0,
-            others_told: 0.0,
+            remote_prefill: 0.0,
+            reported_remote_running: 0.0,
             queues: Queues::default(),
-            others_told_at: now,
+            reported_remote_at: now,
             slowdown: None,
-            remote_pace: None,
-            remote_silent: 0,
+            remote_slowdown: None,
+            remote_unresponsive: 0,
             health: Health::default(),
             notice,
             permits: Permits::default(),
@@ -125,9 +125,9 @@
 
     /// Returns the running requests of other boxes that the target reported within
     /// `TARGET_REPORT_TTL`, else 0.
-    pub fn others_told_lately(&self, now: Instant) -> f64 {
-        match now.since(self.others_told_at) < TARGET_REPORT_TTL {
-            true => self.others_told,
+    pub fn recent_remote_running(&self, now: Instant) -> f64 {
+        match now.since(self.reported_remote_at) < TARGET_REPORT_TTL {
+            true => self.reported_remote_running,
             false => 0.0,
         }
     }
@@ -136,32 +136,34 @@
     pub(super) fn clear_remote(&mut self) {
         self.remote_running = 0.0;
         self.remote_tokens = 0.0;
-        self.remote_reading = 0.0;
-        self.remote_pace = None;
-        self.remote_silent = 0;
+        self.remote_prefill = 0.0;
+        self.remote_slowdown = None;
+        self.remote_unresponsive = 0;
     }
 
     /// Whether several other boxes report that it accepts no connections, so that each box need not
     /// find out by itself.
-    pub fn is_remotely_silent(&self) -> bool {
-        self.remote_silent >= MIN_WITNESSES
+    pub fn is_reported_unresponsive(&self) -> bool {
+        self.remote_unresponsive >= MIN_WITNESSES
     }
 
     /// Records a reported slowdown factor; `NaN` is ignored.
-    pub fn told_pace(&mut self, slowdown: f64, now: Instant) {
+    pub fn record_slowdown(&mut self, slowdown: f64, now: Instant) {
         if !slowdown.is_nan() {
             self.slowdown = Some((slowdown.clamp(1.0, MAX_SLOWDOWN), now));
         }
     }
 
     /// Returns the slowdown factor that the engine reported to this box, unless it has expired.
-    pub fn own_pace(&self, now: Instant) -> Option<f64> {
+    pub fn own_slowdown(&self, now: Instant) -> Option<f64> {
         let (slowdown, at) = self.slowdown?;
         (now.since(at) < SLOWDOWN_TTL).then_some(slowdown)
     }
 
     /// Returns the known slowdown factor, else 1.
-    pub fn slowness(&self, now: Instant) -> f64 {
-        self.own_pace(now).or(self.remote_pace).unwrap_or(1.0)
+    pub fn slowdown(&self, now: Instant) -> f64 {
+        self.own_slowdown(now)
+            .or(self.remote_slowdown)
+            .unwrap_or(1.0)
     }
 }
--- a/reachtally-core/src/forward/fleet/entry.rs
+++ b/reachtally-core/src/forward/fleet/entry.rs
@@ -7,9 +7,9 @@
 
 /// Start time of a run of a target: milliseconds of Unix time on the target's clock.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct Born(pub u64);
+pub struct StartTime(pub u64);
 
-/// A compact digest of [`Born`] that distinguishes the runs of one id in messages, where every byte
+/// A compact digest of [`StartTime`] that distinguishes the runs of one id in messages, where every byte
 /// counts. Two runs collide with a probability of 1 in 16,383. 0 stands for an unknown start time.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default)]
 pub struct RunMark(pub u16);
@@ -25,8 +25,8 @@
     }
 }
 
-impl From<Option<Born>> for RunMark {
-    fn from(born: Option<Born>) -> Self {
+impl From<Option<StartTime>> for RunMark {
+    fn from(born: Option<StartTime>) -> Self {
         RunMark(born.map_or(0, |born| (born.0 % MARK_COUNT) as u16 + 1))
     }
 }
@@ -46,7 +46,7 @@
     /// The target's id; a later run may reuse it.
     pub id: Arc<str>,
     /// Start time of this run, if the target reports it.
-    pub born: Option<Born>,
+    pub born: Option<StartTime>,
     /// The service it belongs to.
     pub service: Arc<str>,
     /// The address it listens on.
@@ -74,7 +74,7 @@
 
     /// Compares the run of this entry with the run of a known entry that has the same id or
     /// address. Runs without a known start time count as the same.
-    pub fn run_since(&self, known: &Entry) -> RunOrder {
+    pub fn run_order(&self, known: &Entry) -> RunOrder {
         RunOrder::of(self.born, known.born)
     }
 }
@@ -93,7 +93,7 @@
 impl RunOrder {
     /// Compares a run that started at `start` with one that started at `known`. Without start times
     /// they count as the same run.
-    pub fn of(start: Option<Born>, known: Option<Born>) -> Self {
+    pub fn of(start: Option<StartTime>, known: Option<StartTime>) -> Self {
         match (start, known) {
             (Some(start), Some(known)) if start > known => RunOrder::Later,
             (Some(start), Some(known)) if start < known => RunOrder::Earlier,
@@ -104,7 +104,7 @@
 
 /// How an entry became known.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Evidence {
+pub enum EntrySource {
     /// Read from a listing; it may have been written long ago.
     Listed,
     /// The target has just written it.
--- a/reachtally-core/src/forward/fleet/health.rs
+++ b/reachtally-core/src/forward/fleet/health.rs
@@ -32,7 +32,7 @@
 #[derive(Debug, Clone, Copy, Default)]
 pub struct Health {
     /// Requests avoid the target until then, unless no other target is left.
-    pub held_until: Option<Instant>,
+    pub cooldown_until: Option<Instant>,
     /// The target counts as full until then, whatever its computed load.
     full_until: Option<Instant>,
     cooldown: Duration,
@@ -54,8 +54,8 @@
 
 impl Health {
     /// Whether the target is in a cooldown.
-    pub fn is_held(&self, now: Instant) -> bool {
-        self.held_until.is_some_and(|until| now < until) || self.is_full(now)
+    pub fn is_cooling_down(&self, now: Instant) -> bool {
+        self.cooldown_until.is_some_and(|until| now < until) || self.is_full(now)
     }
 
     /// Whether the target recently refused a request because it was full.
@@ -70,7 +70,7 @@
 
     /// Whether this box found that the target accepts no connections, or that its whole failure
     /// domain is unreachable.
-    pub fn is_silent(&self) -> bool {
+    pub fn is_unresponsive(&self) -> bool {
         (self.dead_since.is_some() || self.is_unreachable()) && self.superseded_at.is_none()
     }
 
@@ -81,7 +81,7 @@
 
     /// Whether the target itself was found dead while its failure domain is reachable.
     pub fn is_individually_unresponsive(&self) -> bool {
-        self.is_silent() && !self.is_unreachable()
+        self.is_unresponsive() && !self.is_unreachable()
     }
 
     /// Time of the next probe while the target is dead.
@@ -90,7 +90,7 @@
     }
 
     /// Schedules the next probe after a failed one.
-    pub fn probed_in_vain(&mut self, now: Instant) {
+    pub fn probe_failed(&mut self, now: Instant) {
         self.probe_at = now + self.probe_interval;
         self.probe_interval = (self.probe_interval * 2).min(MAX_PROBE_INTERVAL);
     }
@@ -114,21 +114,21 @@
 
     /// Records that the target does not hold what its entry says: another run may have taken its
     /// address.
-    pub fn contradicted(&mut self, now: Instant) {
+    pub fn mark_contradicted(&mut self, now: Instant) {
         self.contradicted_until = Some(now + CONTRADICTED_COOLDOWN);
     }
 
     /// Records that the target did not accept a connection.
-    pub fn found_dead(&mut self, now: Instant) {
+    pub fn mark_dead(&mut self, now: Instant) {
         if self.dead_since.is_none() {
             self.dead_since = Some(now);
             self.probe_interval = INITIAL_PROBE_INTERVAL;
-            self.probed_in_vain(now);
+            self.probe_failed(now);
         }
     }
 
     /// Records that the target accepted a connection.
-    pub fn found_alive(&mut self, now: Instant) {
+    pub fn mark_alive(&mut self, now: Instant) {
         self.dead_since = None;
         self.alive_at = Some(now);
     }
@@ -138,7 +138,7 @@
     pub(super) fn entry_written(&mut self, now: Instant) -> bool {
         let is_later = |at: Instant| now.since(at) > HEARTBEAT_DELAY;
         if self.dead_since.is_none_or(is_later) {
-            self.found_alive(now);
+            self.mark_alive(now);
         }
         self.superseded_at.take_if(|at| is_later(*at)).is_some()
     }
@@ -169,8 +169,8 @@
     }
 
     /// Records a failure; each consecutive one doubles the cooldown.
-    pub fn failed(&mut self, now: Instant) {
-        if self.is_held(now) {
+    pub fn record_failure(&mut self, now: Instant) {
+        if self.is_cooling_down(now) {
             return;
         }
         let is_reset = self
@@ -181,6 +181,6 @@
             false => (self.cooldown * 2).clamp(INITIAL_COOLDOWN, MAX_COOLDOWN),
         };
         self.failed_at = Some(now);
-        self.held_until = Some(now + self.cooldown);
+        self.cooldown_until = Some(now + self.cooldown);
     }
 }
--- a/reachtally-core/src/forward/fleet/queue.rs
+++ b/reachtally-core/src/forward/fleet/queue.rs
@@ -25,7 +25,7 @@
 
 impl Queues {
     /// Records a queue length from an answer to this box.
-    pub fn state(&mut self, waiting: u32, now: Instant) {
+    pub fn record(&mut self, waiting: u32, now: Instant) {
         self.own = Some(StatedQueue { waiting, at: now });
     }
 
--- a/reachtally-core/src/forward/freshness.rs
+++ b/reachtally-core/src/forward/freshness.rs
@@ -29,7 +29,7 @@
     }
 
     /// Whether requests may still be authorized with the configuration, for the bound `within`.
-    pub fn holds(&self, now: Instant, within: Duration) -> bool {
+    pub fn is_fresh(&self, now: Instant, within: Duration) -> bool {
         let limit = within.saturating_sub(FRESHNESS_MARGIN);
         self.age(now).is_some_and(|age| age < limit)
     }
--- a/reachtally-core/src/forward/limit/allocator.rs
+++ b/reachtally-core/src/forward/limit/allocator.rs
@@ -35,12 +35,12 @@
 
 /// The set of collectors that share the limits.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Extent {
+pub struct SharingScope {
     /// Number of failure domains, including this one; at least 1.
     pub domains: usize,
     /// Upper bound on the share of a limit that this collector allocates; below 1 if others may
     /// allocate without knowing of it.
-    pub largest_part: f64,
+    pub max_share: f64,
 }
 
 /// A box that requests permits here.
@@ -149,14 +149,14 @@
     }
 
     /// Refills the buckets of `targets` for the time since the last call and removes all others.
-    pub fn refill(&mut self, targets: &[LimitedTarget], extent: Extent, now: Instant) {
+    pub fn refill(&mut self, targets: &[LimitedTarget], scope: SharingScope, now: Instant) {
         let is_valid = |at: Instant| now.since(at) < REPORT_TTL;
         self.requesters
             .retain(|_, requester| is_valid(requester.received_at));
         self.peers.retain(|_, peer| is_valid(peer.received_at));
         let passed = now.since(self.refilled_at.unwrap_or(now));
         self.refilled_at = Some(now);
-        self.adjust_shares(targets, extent, passed);
+        self.adjust_shares(targets, scope, passed);
         self.sync_buckets(targets);
         for target in targets {
             let share = self.shares.get(&target.service).copied();
@@ -166,31 +166,36 @@
     }
 
     /// Moves this domain's share of each service's limits towards its share of the demand.
-    fn adjust_shares(&mut self, targets: &[LimitedTarget], extent: Extent, passed: Duration) {
+    fn adjust_shares(&mut self, targets: &[LimitedTarget], scope: SharingScope, passed: Duration) {
         let own = self.own_demands();
         let services: BTreeSet<&Arc<str>> = targets.iter().map(|target| &target.service).collect();
         self.shares.retain(|service, _| services.contains(service));
-        let equal_share = 1.0 / extent.domains.max(1) as f64;
+        let equal_share = 1.0 / scope.domains.max(1) as f64;
         let step = 1.0 - (-passed.as_secs_f64() / SHARE_SMOOTHING.as_secs_f64()).exp();
         for service in services {
             let desired = self
-                .demand_share(service, &own, extent)
+                .demand_share(service, &own, scope)
                 .unwrap_or(equal_share);
             let before = self.shares.get(service).copied().unwrap_or(equal_share);
             let share = before + (desired - before) * step;
             self.shares
-                .insert(service.clone(), share.min(extent.largest_part));
+                .insert(service.clone(), share.min(scope.max_share));
         }
     }
 
     /// Returns this domain's share of the demand for a service; `None` without demand. A domain
     /// that did not report is assumed to have the largest demand.
-    fn demand_share(&self, service: &str, own: &[ServiceDemand], extent: Extent) -> Option<f64> {
+    fn demand_share(
+        &self,
+        service: &str,
+        own: &[ServiceDemand],
+        scope: SharingScope,
+    ) -> Option<f64> {
         let own = rate_of(own, service);
         let peers = self.peers.values();
         let rates: Vec<f64> = peers.map(|peer| rate_of(&peer.demands, service)).collect();
         let domains: BTreeSet<&str> = self.peers.values().map(|peer| &*peer.domain).collect();
-        let unreported = extent.domains.saturating_sub(domains.len() + 1) as f64;
+        let unreported = scope.domains.saturating_sub(domains.len() + 1) as f64;
         let largest = rates.iter().copied().fold(own, f64::max);
         let all = own + rates.iter().sum::<f64>() + unreported * largest;
         (all > 0.0).then_some(own / all)
--- a/reachtally-core/src/forward/limit/mod.rs
+++ b/reachtally-core/src/forward/limit/mod.rs
@@ -17,14 +17,14 @@
 mod permits;
 mod spread;
 
-pub use allocator::{Allocator, Extent, LimitedTarget};
+pub use allocator::{Allocator, LimitedTarget, SharingScope};
 pub use demand::{Demand, DemandRate};
 pub use permits::Permits;
-pub use spread::{apply, changes, limited_targets, note_held, page};
+pub use spread::{apply, changes, limited_targets, page, set_held_permits};
 
 /// Time from issue until a permit expires. A shorter time leaves more permits unused in boxes with
 /// few requests; a longer time allows more requests to arrive within a window.
-pub const PERMIT_LIFE: Duration = Duration::from_millis(1000);
+pub const PERMIT_TTL: Duration = Duration::from_millis(1000);
 
 /// Minimum accepted rate, in requests per second: only answers show that a limit has ended, so some
 /// requests must be sent.
--- a/reachtally-core/src/forward/limit/permits.rs
+++ b/reachtally-core/src/forward/limit/permits.rs
@@ -1,6 +1,6 @@
 //! Permits held by a box.
 
-use super::PERMIT_LIFE;
+use super::PERMIT_TTL;
 use crate::time::Instant;
 
 /// Upper bound on the permits held for one target; a grant beyond it is an error of the sender.
@@ -20,7 +20,7 @@
         let room = MAX_HELD.saturating_sub(self.expiries.len());
         let count = (count as usize).min(room);
         self.expiries
-            .extend(std::iter::repeat_n(now + PERMIT_LIFE, count));
+            .extend(std::iter::repeat_n(now + PERMIT_TTL, count));
     }
 
     /// Returns the number of permits that are still valid.
--- a/reachtally-core/src/forward/limit/spread.rs
+++ b/reachtally-core/src/forward/limit/spread.rs
@@ -52,14 +52,14 @@
     let at = now.before(report.age);
     let limit = report.limit;
     let mut is_changed = false;
-    fleet.note(&report.target, now, |notice| {
+    fleet.update_notice(&report.target, now, |notice| {
         is_changed = notice.state_limit(StatedLimit { limit, at }, now);
     });
     is_changed
 }
 
 /// Sets the number of unused permits in each demand.
-pub fn note_held(demands: &mut [ServiceDemand], fleet: &Fleet, now: Instant) {
+pub fn set_held_permits(demands: &mut [ServiceDemand], fleet: &Fleet, now: Instant) {
     for demand in demands {
         let targets = fleet.of_service(&demand.service);
         demand.held = targets.map(|(_, engine)| engine.permits.held(now)).sum();
--- a/reachtally-core/src/forward/loads/collector.rs
+++ b/reachtally-core/src/forward/loads/collector.rs
@@ -7,7 +7,8 @@
 
 use super::received::ReceivedLoads;
 use super::{
-    Assembler, Load, Others, Part, REPORT_TTL, Report, ReportPage, TargetLoad, targets_in_message,
+    Load, Others, Part, REPORT_TTL, Report, ReportAssembler, ReportPage, TargetLoad,
+    targets_in_message,
 };
 use crate::forward::count::DomainCount;
 use crate::forward::fleet::TargetRun;
@@ -48,7 +49,7 @@
     home: Arc<str>,
     reporters: HashMap<Incarnation, Reporter>,
     /// Pages of incomplete reports.
-    assembler: Assembler,
+    assembler: ReportAssembler,
     peers: HashMap<Incarnation, PeerCollector>,
     /// When each target last had a load.
     busy: BTreeMap<TargetRun, Instant>,
@@ -68,14 +69,14 @@
     }
 
     /// Receives a page of the report of a box at `ip`.
-    pub fn hear_page(&mut self, page: ReportPage, ip: IpAddr, now: Instant) {
+    pub fn receive_page(&mut self, page: ReportPage, ip: IpAddr, now: Instant) {
         if let Some(report) = self.assembler.add(page) {
-            self.hear(report, ip, now);
+            self.receive(report, ip, now);
         }
     }
 
     /// Receives the report of a box at `ip`; it replaces reports of an earlier run at that address.
-    pub fn hear(&mut self, report: Report, ip: IpAddr, now: Instant) {
+    pub fn receive(&mut self, report: Report, ip: IpAddr, now: Instant) {
         let known = self.reporters.get(&report.run);
         if known.is_some_and(|known| known.number >= report.number) {
             return;
@@ -105,7 +106,7 @@
     }
 
     /// Receives partial sums of another collector at `ip`.
-    pub fn hear_part(&mut self, part: Part, ip: IpAddr, now: Instant) {
+    pub fn receive_part(&mut self, part: Part, ip: IpAddr, now: Instant) {
         let peer = self.peers.entry(part.run).or_insert(PeerCollector {
             ip,
             domain: part.domain,
@@ -119,7 +120,7 @@
     }
 
     /// Removes expired reports and recomputes the totals.
-    pub fn sum_up(&mut self, now: Instant) {
+    pub fn update_totals(&mut self, now: Instant) {
         let is_recent = |received_at: Instant| now.since(received_at) < REPORT_TTL;
         self.reporters
             .retain(|_, reporter| is_recent(reporter.received_at));
@@ -199,7 +200,7 @@
             .collect();
         let count = pages.len() as u64;
         if count == 0 {
-            return vec![self.all_but(run)];
+            return vec![self.all_except(run)];
         }
         let first = number.wrapping_mul(ANSWERS_PER_REPORT);
         let chosen: BTreeSet<u64> = (0..ANSWERS_PER_REPORT)
@@ -218,7 +219,7 @@
     }
 
     /// Returns the loads of all boxes except `run` on all targets.
-    pub fn all_but(&self, run: Incarnation) -> Others {
+    pub fn all_except(&self, run: Incarnation) -> Others {
         Others {
             counts: self.counts(),
             loads: without(&self.totals, &self.counted_loads(run)),
@@ -256,7 +257,7 @@
     }
 
     /// Addresses of the boxes that report here.
-    pub fn reporters_ips(&self) -> impl Iterator<Item = IpAddr> {
+    pub fn reporter_ips(&self) -> impl Iterator<Item = IpAddr> {
         self.reporters.values().map(|reporter| reporter.ip)
     }
 
--- a/reachtally-core/src/forward/loads/mod.rs
+++ b/reachtally-core/src/forward/loads/mod.rs
@@ -14,7 +14,7 @@
 use crate::forward::count::DomainCount;
 use crate::forward::fleet::{QUEUE_TTL, RunMark, TargetRun};
 use crate::forward::limit::{DemandPart, Grants, LimitReport, PermitRequest};
-use crate::forward::quarantine::Told;
+use crate::forward::quarantine::SuspectReport;
 use crate::forward::shares::{AccountRates, AccountShares};
 use crate::ids::Incarnation;
 
@@ -24,7 +24,7 @@
 mod remote;
 
 pub use collector::Collector;
-pub use pages::Assembler;
+pub use pages::ReportAssembler;
 pub use remote::{RemoteLoads, own_report};
 
 /// Time after which a report expires. Several reports in a row are lost only if the sender or its
@@ -33,9 +33,9 @@
 /// Targets per message. With names of a dozen bytes and the box counts of 13 failure domains, the
 /// message fits a datagram that is not fragmented. With fewer, a large fleet needs more messages
 /// and is known later.
-pub const TARGETS_TOLD: usize = 38;
+pub const TARGETS_PER_MESSAGE: usize = 38;
 /// Targets per message if their runs report start times: a mark takes three bytes.
-pub const MARKED_TARGETS_TOLD: usize = 35;
+pub const MARKED_TARGETS_PER_MESSAGE: usize = 35;
 /// Upper bound on the running requests that one sender can report per target; rejects corrupt
 /// reports.
 const MAX_RUNNING: u32 = 100_000;
@@ -161,8 +161,8 @@
 fn targets_in_message(loads: &[TargetLoad]) -> usize {
     let is_marked = |reported: &TargetLoad| reported.target.mark != RunMark::default();
     match loads.iter().any(is_marked) {
-        true => MARKED_TARGETS_TOLD,
-        false => TARGETS_TOLD,
+        true => MARKED_TARGETS_PER_MESSAGE,
+        false => TARGETS_PER_MESSAGE,
     }
 }
 
@@ -202,7 +202,7 @@
     Leave(Incarnation),
     /// Between a box and its collector, and between collectors: requests under which targets
     /// crashed.
-    Suspects(Vec<Told>),
+    Suspects(Vec<SuspectReport>),
     /// Between a box and its collector, and between collectors: rate limits of targets.
     Limits(Vec<LimitReport>),
     /// From a box to its collector: requests permits for targets with a rate limit.
--- a/reachtally-core/src/forward/loads/pages.rs
+++ b/reachtally-core/src/forward/loads/pages.rs
@@ -18,9 +18,9 @@
 /// Reassembles reports from their pages. A report with a lost page is dropped; the previous one
 /// stays in effect until the next.
 #[derive(Debug, Default)]
-pub struct Assembler(HashMap<Incarnation, Pending>);
+pub struct ReportAssembler(HashMap<Incarnation, Pending>);
 
-impl Assembler {
+impl ReportAssembler {
     /// Adds a page. Returns the report if it is now complete.
     pub fn add(&mut self, page: ReportPage) -> Option<Report> {
         let ReportPage { run, number, .. } = page;
--- a/reachtally-core/src/forward/loads/remote.rs
+++ b/reachtally-core/src/forward/loads/remote.rs
@@ -18,12 +18,12 @@
 
 impl RemoteLoads {
     /// Receives a message of a collector and updates the targets.
-    pub fn hear(&mut self, others: Others, fleet: &mut Fleet, now: Instant) {
+    pub fn receive(&mut self, others: Others, fleet: &mut Fleet, now: Instant) {
         for reported in &others.loads {
             set_remote_load(fleet, &reported.target, &reported.load.bounded(), now);
         }
         for reported in &others.counts {
-            self.count.hear(reported, now);
+            self.count.receive(reported, now);
         }
         if !others.counts.is_empty() {
             self.domains = others.counts.len();
@@ -43,7 +43,7 @@
 
     /// Number of failure domains whose requests are included in the loads; 0 before the first
     /// count.
-    pub fn domains_heard(&self) -> usize {
+    pub fn reported_domains(&self) -> usize {
         self.domains
     }
 
@@ -59,9 +59,9 @@
     if let Some(engine) = fleet.find_run(target).and_then(|key| fleet.get_mut(key)) {
         engine.remote_running = f64::from(load.running);
         engine.remote_tokens = f64::from(load.tokens);
-        engine.remote_reading = f64::from(load.reading);
-        engine.remote_pace = load.pace;
-        engine.remote_silent = load.silent;
+        engine.remote_prefill = f64::from(load.reading);
+        engine.remote_slowdown = load.pace;
+        engine.remote_unresponsive = load.silent;
         if let Some(queue) = load.queue {
             engine.queues.report(StatedQueue {
                 waiting: queue.waiting,
@@ -77,7 +77,7 @@
         running: engine.running,
         tokens: engine.tokens as u32,
         reading: engine.reading as u32,
-        pace: engine.own_pace(now),
+        pace: engine.own_slowdown(now),
         silent: u32::from(engine.health.is_individually_unresponsive()),
         queue: engine.queues.own(now).map(|stated| QueueReport {
             waiting: stated.waiting,
--- a/reachtally-core/src/forward/quarantine/mod.rs
+++ b/reachtally-core/src/forward/quarantine/mod.rs
@@ -19,24 +19,24 @@
 mod suspect;
 
 use suspect::SuspectRequest;
-pub use suspect::{AccountDigest, ENDS_KEPT, End, RunDigest, Verdict};
+pub use suspect::{AccountDigest, CrashRecord, MAX_CRASHES, RunDigest, Verdict};
 
 /// How long a request is remembered after its last crash or its last refusal. Callers give up long
 /// before.
-pub const CASE_LIFE: Duration = Duration::from_secs(600);
+pub const SUSPECT_TTL: Duration = Duration::from_secs(600);
 /// Maximum number of remembered requests, of about 100 bytes each.
-pub const MOST_CASES: usize = 256;
+pub const MAX_SUSPECTS: usize = 256;
 /// Maximum number of remembered requests per account, so that no account can evict those of others.
-pub const MOST_CASES_OF_ACCOUNT: usize = 64;
+pub const MAX_SUSPECTS_PER_ACCOUNT: usize = 64;
 /// How long a change is repeated with each report, since messages may be lost.
 const CHANGE_REPEAT_TIME: Duration = Duration::from_millis(700);
-/// Requests per message. With [`ENDS_KEPT`] crashes each, the message fits a datagram that is not
+/// Requests per message. With [`MAX_CRASHES`] crashes each, the message fits a datagram that is not
 /// fragmented.
-pub const CASES_TOLD: usize = 9;
+pub const SUSPECTS_PER_MESSAGE: usize = 9;
 
 /// A report about a request, exchanged between boxes.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Told {
+pub struct SuspectReport {
     /// The request.
     pub fingerprint: Fingerprint,
     /// Its account.
@@ -44,12 +44,12 @@
     /// Remaining time for which it is remembered.
     pub life: Duration,
     /// The crashes while it was running.
-    pub ends: Vec<End>,
+    pub ends: Vec<CrashRecord>,
 }
 
 /// Selects changes by their origin.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Origin {
+pub enum ChangeOrigin {
     /// Changes made by this box.
     Own,
     /// Changes made by this box or received from others.
@@ -81,20 +81,20 @@
 
     /// Records a crash of a run while a request of `account` was assigned to it. Returns the
     /// verdict if anything changed.
-    pub fn run_ended(
+    pub fn record_crash(
         &mut self,
         fingerprint: Fingerprint,
         account: AccountDigest,
-        end: End,
+        end: CrashRecord,
         now: Instant,
     ) -> Option<Verdict> {
-        let report = Told {
+        let report = SuspectReport {
             fingerprint,
             account,
-            life: CASE_LIFE,
+            life: SUSPECT_TTL,
             ends: vec![end],
         };
-        if !self.merge(&report, Origin::Own, now) {
+        if !self.merge(&report, ChangeOrigin::Own, now) {
             return None;
         }
         Some(self.verdict(fingerprint))
@@ -102,13 +102,13 @@
 
     /// Records a complete answer to a request, which clears it of the crashes known so far. Returns
     /// whether anything changed.
-    pub fn acquit(&mut self, fingerprint: Fingerprint, now: Instant) -> bool {
+    pub fn clear_suspicion(&mut self, fingerprint: Fingerprint, now: Instant) -> bool {
         let Some(suspect) = self.suspects.get_mut(&fingerprint) else {
             return false;
         };
-        let is_changed = suspect.acquit();
+        let is_changed = suspect.clear_suspicion();
         if is_changed {
-            suspect.changed(Origin::Own, now);
+            suspect.changed(ChangeOrigin::Own, now);
         }
         is_changed
     }
@@ -117,17 +117,17 @@
     /// it.
     pub fn refused(&mut self, fingerprint: Fingerprint, now: Instant) {
         if let Some(suspect) = self.suspects.get_mut(&fingerprint) {
-            suspect.expires = now + CASE_LIFE;
+            suspect.expires = now + SUSPECT_TTL;
         }
     }
 
     /// Receives the report of another box. Returns whether anything changed.
-    pub fn hear(&mut self, report: &Told, now: Instant) -> bool {
-        self.merge(report, Origin::Any, now)
+    pub fn receive(&mut self, report: &SuspectReport, now: Instant) -> bool {
+        self.merge(report, ChangeOrigin::Any, now)
     }
 
-    fn merge(&mut self, report: &Told, origin: Origin, now: Instant) -> bool {
-        let life = report.life.min(CASE_LIFE);
+    fn merge(&mut self, report: &SuspectReport, origin: ChangeOrigin, now: Instant) -> bool {
+        let life = report.life.min(SUSPECT_TTL);
         if life.is_zero() || report.ends.is_empty() {
             return false;
         }
@@ -157,9 +157,9 @@
             *counts.entry(suspect.account).or_default() += 1;
         }
         let own = counts.get(&account).copied().unwrap_or_default();
-        let from = if own >= MOST_CASES_OF_ACCOUNT {
+        let from = if own >= MAX_SUSPECTS_PER_ACCOUNT {
             Some(account)
-        } else if self.suspects.len() >= MOST_CASES {
+        } else if self.suspects.len() >= MAX_SUSPECTS {
             let largest = counts.into_iter().max_by_key(|(_, count)| *count);
             largest.map(|(account, _)| account)
         } else {
@@ -185,21 +185,21 @@
     }
 
     /// Returns a report about a request.
-    pub fn tell(&self, fingerprint: Fingerprint, now: Instant) -> Option<Told> {
+    pub fn report(&self, fingerprint: Fingerprint, now: Instant) -> Option<SuspectReport> {
         let suspect = self.suspects.get(&fingerprint)?;
         Some(suspect.to_report(fingerprint, now))
     }
 
     /// Returns recent changes for other boxes: the newest ones that fit a message.
-    pub fn changes(&self, origin: Origin, now: Instant) -> Vec<Told> {
+    pub fn changes(&self, origin: ChangeOrigin, now: Instant) -> Vec<SuspectReport> {
         let is_due = |suspect: &SuspectRequest| {
             let is_new = now.since(suspect.changed_at) < CHANGE_REPEAT_TIME;
-            is_new && (origin == Origin::Any || suspect.changed_by == Origin::Own)
+            is_new && (origin == ChangeOrigin::Any || suspect.changed_by == ChangeOrigin::Own)
         };
         let changed = self.suspects.iter().filter(|(_, suspect)| is_due(suspect));
         let mut changed: Vec<(&Fingerprint, &SuspectRequest)> = changed.collect();
         changed.sort_by_key(|(_, suspect)| std::cmp::Reverse(suspect.changed_at));
-        changed.truncate(CASES_TOLD);
+        changed.truncate(SUSPECTS_PER_MESSAGE);
         changed
             .into_iter()
             .map(|(fingerprint, suspect)| suspect.to_report(*fingerprint, now))
@@ -207,10 +207,14 @@
     }
 
     /// Returns page `number`, modulo the number of pages, of all remembered requests.
-    pub fn page(&self, number: u64, now: Instant) -> Vec<Told> {
-        let pages = self.suspects.len().div_ceil(CASES_TOLD).max(1);
-        let skipped = (number % pages as u64) as usize * CASES_TOLD;
-        let page = self.suspects.iter().skip(skipped).take(CASES_TOLD);
+    pub fn page(&self, number: u64, now: Instant) -> Vec<SuspectReport> {
+        let pages = self.suspects.len().div_ceil(SUSPECTS_PER_MESSAGE).max(1);
+        let skipped = (number % pages as u64) as usize * SUSPECTS_PER_MESSAGE;
+        let page = self
+            .suspects
+            .iter()
+            .skip(skipped)
+            .take(SUSPECTS_PER_MESSAGE);
         page.map(|(fingerprint, suspect)| suspect.to_report(*fingerprint, now))
             .collect()
     }
--- a/reachtally-core/src/forward/quarantine/suspect.rs
+++ b/reachtally-core/src/forward/quarantine/suspect.rs
@@ -2,7 +2,7 @@
 
 use sha2::{Digest, Sha256};
 
-use super::{Origin, Told};
+use super::{ChangeOrigin, SuspectReport};
 use crate::forward::fingerprint::Fingerprint;
 use crate::forward::fleet::TargetRun;
 use crate::time::Instant;
@@ -15,7 +15,7 @@
 /// requests that were merely queued at the target count too.
 const CRASH_LIMIT: usize = 3;
 /// Crashes kept per request; further ones do not change the verdict.
-pub const ENDS_KEPT: usize = 8;
+pub const MAX_CRASHES: usize = 8;
 
 /// Digest that distinguishes runs of targets.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -49,7 +49,7 @@
 
 /// A crash of a run while a request was assigned to it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct End {
+pub struct CrashRecord {
     /// The run that crashed.
     pub run: RunDigest,
     /// Whether it had just begun the request: the head of the answer had arrived, but nothing of
@@ -59,8 +59,8 @@
     pub is_acquitted: bool,
 }
 
-impl End {
-    fn merge(&mut self, other: &End) {
+impl CrashRecord {
+    fn merge(&mut self, other: &CrashRecord) {
         self.had_begun |= other.had_begun;
         self.is_acquitted |= other.is_acquitted;
     }
@@ -82,11 +82,11 @@
 pub(super) struct SuspectRequest {
     pub account: AccountDigest,
     /// Crashes that were not cleared come first.
-    ends: Vec<End>,
+    ends: Vec<CrashRecord>,
     /// When the record expires.
     pub expires: Instant,
     pub changed_at: Instant,
-    pub changed_by: Origin,
+    pub changed_by: ChangeOrigin,
 }
 
 impl SuspectRequest {
@@ -96,7 +96,7 @@
             ends: Vec::new(),
             expires: now,
             changed_at: now,
-            changed_by: Origin::Any,
+            changed_by: ChangeOrigin::Any,
         }
     }
 
@@ -115,7 +115,7 @@
 
     /// Merges crashes. Returns whether anything changed. If there are too many, all boxes keep the
     /// same ones, so that they do not exchange changes endlessly.
-    pub fn merge(&mut self, ends: &[End]) -> bool {
+    pub fn merge(&mut self, ends: &[CrashRecord]) -> bool {
         let before = self.ends.clone();
         for end in ends {
             match self.ends.iter_mut().find(|known| known.run == end.run) {
@@ -124,27 +124,27 @@
             }
         }
         self.ends.sort_by_key(|end| (end.is_acquitted, end.run));
-        self.ends.truncate(ENDS_KEPT);
+        self.ends.truncate(MAX_CRASHES);
         self.ends != before
     }
 
     /// Clears the request of all known crashes. Returns whether anything changed.
-    pub fn acquit(&mut self) -> bool {
-        let cleared = |end: &End| End {
+    pub fn clear_suspicion(&mut self) -> bool {
+        let cleared = |end: &CrashRecord| CrashRecord {
             is_acquitted: true,
             ..*end
         };
-        let ends: Vec<End> = self.ends.iter().map(cleared).collect();
+        let ends: Vec<CrashRecord> = self.ends.iter().map(cleared).collect();
         self.merge(&ends)
     }
 
-    pub fn changed(&mut self, by: Origin, now: Instant) {
+    pub fn changed(&mut self, by: ChangeOrigin, now: Instant) {
         self.changed_at = now;
         self.changed_by = by;
     }
 
-    pub fn to_report(&self, fingerprint: Fingerprint, now: Instant) -> Told {
-        Told {
+    pub fn to_report(&self, fingerprint: Fingerprint, now: Instant) -> SuspectReport {
+        SuspectReport {
             fingerprint,
             account: self.account,
             life: self.expires.since(now),
--- a/reachtally-core/src/forward/rate.rs
+++ b/reachtally-core/src/forward/rate.rs
@@ -6,7 +6,7 @@
 
 /// Returns the remaining weight at `now` of an event at `before`, for the decay time constant
 /// `time`.
-pub(crate) fn left(before: Instant, now: Instant, time: Duration) -> f64 {
+pub(crate) fn decay_factor(before: Instant, now: Instant, time: Duration) -> f64 {
     (-now.since(before).as_secs_f64() / time.as_secs_f64()).exp()
 }
 
@@ -28,6 +28,6 @@
 
     /// Returns the events per second.
     pub fn at(&self, now: Instant) -> f64 {
-        self.per_second * left(self.at, now, Self::TIME)
+        self.per_second * decay_factor(self.at, now, Self::TIME)
     }
 }
--- a/reachtally-core/src/forward/readers.rs
+++ b/reachtally-core/src/forward/readers.rs
@@ -17,18 +17,18 @@
 
 /// Where this box gets the configuration and the targets from.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Origin {
+pub enum ReadSource {
     /// The store.
     Store,
     /// Another box.
     Box(IpAddr),
     /// No source at present; those that failed are asked again after a short time.
-    Nowhere,
+    Unavailable,
 }
 
 /// The group as seen by this box.
 #[derive(Debug, Clone, Copy)]
-pub struct View<'a> {
+pub struct GroupView<'a> {
     /// The boxes of the group; this one may be missing.
     pub members: &'a [Member],
     /// The failure domain of this box.
@@ -44,12 +44,12 @@
     /// Boxes that recently answered with outdated data.
     pub stale: &'a [IpAddr],
     /// Whether this box has just started, so that others may have too.
-    pub is_young: bool,
+    pub has_just_started: bool,
     /// Whether the data that this box itself reads from the store is recent enough.
-    pub is_sound: bool,
+    pub is_store_current: bool,
 }
 
-impl<'a> View<'a> {
+impl<'a> GroupView<'a> {
     /// Returns the members of a failure domain in the order in which they are asked. After a
     /// restart the group lists both runs of a box for a while; the box counts once.
     fn members_of(&self, domain: &str) -> Vec<&'a Member> {
@@ -83,7 +83,7 @@
 
     /// Whether this box should leave the group because it has enough other members of its failure
     /// domain.
-    pub fn is_superfluous(&self) -> bool {
+    pub fn is_surplus(&self) -> bool {
         let members = self.members_of(self.home);
         let rank = members.iter().position(|member| self.is_self(member));
         rank.is_some_and(|rank| rank >= MAX_MEMBERS)
@@ -96,7 +96,7 @@
 
     /// Returns the probability from 0 to 1 with which each box outside the group should join it
     /// now, out of `boxes` boxes in total, so that about as many join as are missing.
-    pub fn chance_to_join(&self, boxes: u32) -> f64 {
+    pub fn join_probability(&self, boxes: u32) -> f64 {
         let domain_count = domains(self.members).len().max(1) as f64;
         let local_boxes = f64::from(boxes.max(1)) / domain_count;
         self.missing_readers() as f64 / local_boxes
@@ -125,14 +125,14 @@
     /// Other boxes read the store only if no other box answers at all. While the store is
     /// unavailable, readers answer with no new data and the other boxes wait for them. This
     /// protects the store from a call by every box when it returns.
-    pub fn origin(&self) -> Origin {
+    pub fn origin(&self) -> ReadSource {
         let local = self.readers(self.home);
         let before = local.iter().take_while(|member| !self.is_self(member));
         if let Some(reader) = before.copied().find(|member| self.is_usable(member)) {
-            return Origin::Box(reader.ip);
+            return ReadSource::Box(reader.ip);
         }
-        if self.is_sound && self.is_reader() {
-            return Origin::Store;
+        if self.is_store_current && self.is_reader() {
+            return ReadSource::Store;
         }
         // A reader that is not updated in time reads the store itself. Asking all readers of other
         // failure domains first would delay a configuration change for too long.
@@ -144,28 +144,28 @@
         let remote = self.remote_readers(ranks);
         let mut others = local.into_iter().chain(remote);
         match others.find(|member| self.is_usable(member)) {
-            Some(reader) => Origin::Box(reader.ip),
+            Some(reader) => ReadSource::Box(reader.ip),
             None => self.fallback_origin(),
         }
     }
 
     /// Selects the source if no reader is usable.
-    fn fallback_origin(&self) -> Origin {
+    fn fallback_origin(&self) -> ReadSource {
         if self.is_reader() {
-            return Origin::Store;
+            return ReadSource::Store;
         }
         let is_seed = self.seeds.contains(&self.ip);
         if !self.members.is_empty() || is_seed {
             return match self.stale.is_empty() {
-                true => Origin::Store,
-                false => Origin::Nowhere,
+                true => ReadSource::Store,
+                false => ReadSource::Unavailable,
             };
         }
         let is_usable = |ip: &&IpAddr| !self.avoid.contains(ip) && !self.stale.contains(ip);
         match self.seeds.iter().find(is_usable) {
-            Some(seed) => Origin::Box(*seed),
-            None if self.is_young && !self.seeds.is_empty() => Origin::Nowhere,
-            None => Origin::Store,
+            Some(seed) => ReadSource::Box(*seed),
+            None if self.has_just_started && !self.seeds.is_empty() => ReadSource::Unavailable,
+            None => ReadSource::Store,
         }
     }
 
--- a/reachtally-core/src/forward/routes.rs
+++ b/reachtally-core/src/forward/routes.rs
@@ -8,7 +8,7 @@
 
 /// How often a request of a route may be executed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Repeat {
+pub enum RepeatPolicy {
     /// Any number of times.
     Idempotent,
     /// At most once.
@@ -17,7 +17,7 @@
 
 /// The form of a route's answers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Shape {
+pub enum ResponseShape {
     /// A single body.
     Whole,
     /// A stream of events with increasing ids.
@@ -35,9 +35,9 @@
     /// Its name, for logs.
     pub name: Arc<str>,
     /// How often its requests may be executed.
-    pub repeat: Repeat,
+    pub repeat: RepeatPolicy,
     /// The form of its answers.
-    pub shape: Shape,
+    pub shape: ResponseShape,
     /// Maximum duration of a request.
     pub timeout: Duration,
     /// Time within which an answer has its full value.
@@ -56,16 +56,16 @@
     /// Whether a request may be executed more than once.
     pub fn is_repeatable(&self) -> bool {
         match self.shape {
-            Shape::Events { resumable, .. } => resumable,
-            Shape::Whole => self.repeat == Repeat::Idempotent,
+            ResponseShape::Events { resumable, .. } => resumable,
+            ResponseShape::Whole => self.repeat == RepeatPolicy::Idempotent,
         }
     }
 
     /// Longest pause between events within the objective, if the route sets one.
     pub fn gap_objective(&self) -> Option<Duration> {
         match self.shape {
-            Shape::Events { gap_objective, .. } => gap_objective,
-            Shape::Whole => None,
+            ResponseShape::Events { gap_objective, .. } => gap_objective,
+            ResponseShape::Whole => None,
         }
     }
 
--- a/reachtally-core/src/forward/select/candidate.rs
+++ b/reachtally-core/src/forward/select/candidate.rs
@@ -133,7 +133,7 @@
         let batch = running * model.share(layers) + 1.0;
         let rate = running / cx.held.as_secs_f64();
         let slowdown =
-            model.reading_slowdown(card, layers, rate) * WAIT_FACTOR * engine.slowness(cx.now);
+            model.reading_slowdown(card, layers, rate) * WAIT_FACTOR * engine.slowdown(cx.now);
         let slots = MAX_SLOT_UTILIZATION * f64::from(engine.entry.slots.max(1));
         let slot_load = running / slots;
         let assumed = (occupied * cx.unheard + need.held()) / capacity;
@@ -143,7 +143,7 @@
             .max(kv_utilization)
             .max(slot_load);
         let exponent = utilization.min(MAX_PRICED_UTILIZATION).powi(PRICE_EXPONENT);
-        let queued = engine.reading + engine.remote_reading;
+        let queued = engine.reading + engine.remote_prefill;
         let shortfall = (tokens / capacity - 1.0).max(0.0);
         let capacity_wait_ms = shortfall * cx.held.as_secs_f64() * 1000.0;
         let weight = (FULL_WEIGHT_BOXES / f64::from(cx.boxes.max(1))).min(1.0);
--- a/reachtally-core/src/forward/select/mod.rs
+++ b/reachtally-core/src/forward/select/mod.rs
@@ -265,8 +265,9 @@
     if is_unavailable || health.is_full(cx.now) || cx.avoid.contains(&key) {
         return false;
     }
-    let is_suspect =
-        health.is_held(cx.now) || engine.missing_since.is_some() || engine.is_remotely_silent();
+    let is_suspect = health.is_cooling_down(cx.now)
+        || engine.missing_since.is_some()
+        || engine.is_reported_unresponsive();
     match filter {
         Filter::Sampled => !is_suspect && unit_hash(cx.draw ^ SAMPLE_SALT, key) < SAMPLE_FRACTION,
         Filter::Healthy => !is_suspect,
@@ -294,7 +295,7 @@
     filter: Filter,
 ) -> Option<Instance> {
     let load = |engine: &Engine| {
-        let others = engine.remote_running.max(engine.others_told);
+        let others = engine.remote_running.max(engine.reported_remote_running);
         let running = f64::from(engine.running) + others;
         running / f64::from(engine.entry.slots.max(1))
     };
@@ -330,7 +331,7 @@
 /// reported in an answer counts only while it is recent: otherwise a high value that no new answer
 /// corrects would divert requests permanently.
 fn slots_used(engine: &Engine, now: Instant) -> f64 {
-    let others = engine.remote_running.max(engine.others_told_lately(now));
+    let others = engine.remote_running.max(engine.recent_remote_running(now));
     let running = f64::from(engine.running) + others + 1.0;
     running / f64::from(engine.entry.slots.max(1))
 }
--- a/reachtally-core/src/forward/shares/aggregator.rs
+++ b/reachtally-core/src/forward/shares/aggregator.rs
@@ -240,7 +240,7 @@
 
     /// Removes expired rates and recomputes the shares unless they are recent. Returns the accounts
     /// that exceeded their share or returned within it.
-    pub fn sum_up(&mut self, now: Instant) -> Vec<Change> {
+    pub fn update_totals(&mut self, now: Instant) -> Vec<Change> {
         let is_recent = |at: Instant| now.since(at) < AGGREGATION_INTERVAL;
         match self.aggregated_at.is_some_and(is_recent) {
             true => Vec::new(),
@@ -248,7 +248,7 @@
         }
     }
 
-    /// Like [`Aggregator::sum_up`], but regardless of the age of the shares.
+    /// Like [`Aggregator::update_totals`], but regardless of the age of the shares.
     pub fn sum_up_now(&mut self, now: Instant) -> Vec<Change> {
         self.aggregated_at = Some(now);
         self.senders.retain(|_, sender| {
--- a/reachtally-core/src/forward/stall.rs
+++ b/reachtally-core/src/forward/stall.rs
@@ -45,8 +45,8 @@
 
     /// Returns those of `engines` that had no event after `since`.
     pub fn silent_since(&self, engines: &[EngineKey], since: Instant) -> Vec<EngineKey> {
-        let is_silent = |key: &&EngineKey| self.last.get(**key).is_none_or(|at| *at <= since);
-        engines.iter().filter(is_silent).copied().collect()
+        let is_unresponsive = |key: &&EngineKey| self.last.get(**key).is_none_or(|at| *at <= since);
+        engines.iter().filter(is_unresponsive).copied().collect()
     }
 }
 
--- a/reachtally-core/src/forward/stewardship.rs
+++ b/reachtally-core/src/forward/stewardship.rs
@@ -10,16 +10,16 @@
 /// Increases with each change of the group that assigns the steward role and with each rollback of
 /// the store, so that the token of a later steward is higher than those of earlier ones.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Token(pub Generation);
+pub struct FencingToken(pub Generation);
 
 /// The right to give an order, with the token that it must carry. Only a [`Stewardship`] that holds
 /// the role issues one.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Permit(Token);
+pub struct OrderPermit(FencingToken);
 
-impl Permit {
+impl OrderPermit {
     /// Returns the token.
-    pub fn token(&self) -> Token {
+    pub fn token(&self) -> FencingToken {
         self.0
     }
 }
@@ -27,14 +27,14 @@
 /// Whether this box holds the steward role.
 #[derive(Debug, Default)]
 pub struct Stewardship {
-    held: Option<(Token, Instant)>,
+    held: Option<(FencingToken, Instant)>,
     /// The highest token of this box that an engine rejected.
-    refused: Option<Token>,
+    refused: Option<FencingToken>,
 }
 
 impl Stewardship {
     /// Assigns the role to this box under `token` until `until`.
-    pub fn grant(&mut self, token: Token, until: Instant) {
+    pub fn grant(&mut self, token: FencingToken, until: Instant) {
         self.held = Some((token, until));
     }
 
@@ -45,16 +45,16 @@
 
     /// Records that an engine has seen a higher token than that of `permit`. Returns whether the
     /// rejected token is the highest so far.
-    pub fn superseded(&mut self, permit: Permit) -> bool {
+    pub fn superseded(&mut self, permit: OrderPermit) -> bool {
         let is_newer = self.refused < Some(permit.0);
         self.refused = self.refused.max(Some(permit.0));
         is_newer
     }
 
     /// Returns the right to give an order now. A rejected token gives none; only a newer one does.
-    pub fn permit(&self, now: Instant) -> Option<Permit> {
+    pub fn permit(&self, now: Instant) -> Option<OrderPermit> {
         let (token, until) = self.held?;
         let is_current = now < until && self.refused < Some(token);
-        is_current.then_some(Permit(token))
+        is_current.then_some(OrderPermit(token))
     }
 }
--- a/reachtally-core/tests/core/forward/budget.rs
+++ b/reachtally-core/tests/core/forward/budget.rs
@@ -5,7 +5,7 @@
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 use reachtally_core::Instant;
-use reachtally_core::forward::budget::{BudgetBounds, SharedBudget};
+use reachtally_core::forward::budget::{BudgetBounds, SharedRetryBudget};
 
 const BOUNDS: BudgetBounds = BudgetBounds {
     ratio: 0.2,
@@ -18,7 +18,7 @@
 }
 
 /// Second sends that a box may make at `now`.
-fn taken(budget: &mut SharedBudget, now: Instant, boxes: u32) -> u32 {
+fn taken(budget: &mut SharedRetryBudget, now: Instant, boxes: u32) -> u32 {
     let mut count = 0;
     while budget.take(now, &BOUNDS, boxes) {
         count += 1;
@@ -32,7 +32,7 @@
         let firsts = 400;
         let mut sum = 0;
         for _ in 0..boxes {
-            let mut budget = SharedBudget::default();
+            let mut budget = SharedRetryBudget::default();
             for _ in 0..firsts / boxes {
                 budget.first(at(0), &BOUNDS);
             }
@@ -48,7 +48,7 @@
 
 #[test]
 fn no_window_holds_more_than_the_bound_wherever_it_lies() {
-    let mut budget = SharedBudget::default();
+    let mut budget = SharedRetryBudget::default();
     let mut taken_at = Vec::new();
     for ms in (0..60_000).step_by(37) {
         budget.first(at(ms), &BOUNDS);
@@ -73,7 +73,7 @@
 
 #[test]
 fn what_left_the_window_can_be_taken_again() {
-    let mut budget = SharedBudget::default();
+    let mut budget = SharedRetryBudget::default();
     let first = taken(&mut budget, at(0), 8);
     assert!(first > 0);
     assert_eq!(taken(&mut budget, at(9_000), 8), 0);
@@ -98,7 +98,7 @@
             life + 12_000
         };
         for _ in 0..boxes {
-            let mut budget = SharedBudget::of_box(at(life));
+            let mut budget = SharedRetryBudget::starting_at(at(life));
             for ms in (life..until).step_by(100) {
                 while budget.take(at(ms), &bounds, boxes) {
                     taken_at.push(ms);
@@ -132,12 +132,12 @@
     let gap_ms = 1000.0 * f64::from(boxes) / REQUESTS_PER_S;
     let mut sends = Vec::new();
     for number in 0..boxes {
-        let mut budget = SharedBudget::of_box(at(0));
+        let mut budget = SharedRetryBudget::starting_at(at(0));
         // The boxes' requests arrive evenly between each other.
         let mut next_ms = gap_ms * f64::from(number) / f64::from(boxes);
         for ms in (0..restart_ms + 12_000).step_by(STEP_MS as usize) {
             if ms == restart_ms {
-                budget = SharedBudget::of_box(at(ms));
+                budget = SharedRetryBudget::starting_at(at(ms));
             }
             while next_ms <= ms as f64 {
                 budget.first(at(ms), bounds);
@@ -219,12 +219,12 @@
 
 /// First and second sends of a box, by time.
 fn play(played: &Played, bounds: &BudgetBounds, boxes: u32) -> (Vec<u64>, Vec<u64>) {
-    let mut budget = SharedBudget::of_box(at(0));
+    let mut budget = SharedRetryBudget::starting_at(at(0));
     let (mut firsts, mut seconds) = (Vec::new(), Vec::new());
     for ms in (0..PLAY_MS).step_by(STEP_MS as usize) {
         let step = ms..ms + STEP_MS;
         if played.starts_ms.iter().any(|start| step.contains(start)) {
-            budget = SharedBudget::of_box(at(ms));
+            budget = SharedRetryBudget::starting_at(at(ms));
         }
         if ms % played.gap_ms < STEP_MS {
             budget.first(at(ms), bounds);
--- a/reachtally-core/tests/core/forward/changes.rs
+++ b/reachtally-core/tests/core/forward/changes.rs
@@ -1,6 +1,6 @@
 //! The changes of targets that boxes tell each other.
 
-use reachtally_core::forward::changes::{Changes, Cursor, Since};
+use reachtally_core::forward::changes::{ChangeLog, Cursor, Delta};
 
 const RUN: u64 = 7;
 
@@ -10,33 +10,33 @@
 
 #[test]
 fn a_box_hears_each_target_that_changed_once() {
-    let mut changes = Changes::default();
+    let mut changes = ChangeLog::default();
     for id in ["a", "b", "a"] {
-        changes.note(id.into());
+        changes.record(id.into());
     }
     let since = changes.since(cursor(1), RUN);
-    assert_eq!(since, Since::Changed(vec!["a".into(), "b".into()]));
-    assert_eq!(changes.since(cursor(3), RUN), Since::Changed(Vec::new()));
+    assert_eq!(since, Delta::Changed(vec!["a".into(), "b".into()]));
+    assert_eq!(changes.since(cursor(3), RUN), Delta::Changed(Vec::new()));
 }
 
 #[test]
 fn a_box_that_followed_another_run_gets_everything() {
-    let changes = Changes::default();
+    let changes = ChangeLog::default();
     let other = Cursor { run: 8, next: 0 };
-    assert_eq!(changes.since(other, RUN), Since::Whole);
+    assert_eq!(changes.since(other, RUN), Delta::Whole);
 }
 
 #[test]
 fn a_box_that_is_too_far_behind_gets_everything() {
-    let mut changes = Changes::default();
+    let mut changes = ChangeLog::default();
     for number in 0..20_000 {
-        changes.note(format!("e{number}").into());
+        changes.record(format!("e{number}").into());
     }
     assert_eq!(changes.next(), 20_000);
-    assert_eq!(changes.since(cursor(10), RUN), Since::Whole);
+    assert_eq!(changes.since(cursor(10), RUN), Delta::Whole);
     assert_eq!(
         changes.since(cursor(19_999), RUN),
-        Since::Changed(vec!["e19999".into()])
+        Delta::Changed(vec!["e19999".into()])
     );
-    assert_eq!(changes.since(cursor(20_001), RUN), Since::Whole);
+    assert_eq!(changes.since(cursor(20_001), RUN), Delta::Whole);
 }
--- a/reachtally-core/tests/core/forward/count.rs
+++ b/reachtally-core/tests/core/forward/count.rs
@@ -24,15 +24,15 @@
 fn a_domain_that_is_not_heard_of_keeps_its_boxes_for_a_while() {
     let mut count = BoxCount::default();
     assert_eq!(count.boxes(0), None);
-    count.hear(&told("north", 100), at(0));
-    count.hear(&told("south", 195), at(0));
+    count.receive(&told("north", 100), at(0));
+    count.receive(&told("south", 195), at(0));
     // Cut off, the north must not share out what is the south's.
     for ms in (0..29_000).step_by(200) {
-        count.hear(&told("north", 100), at(ms));
+        count.receive(&told("north", 100), at(ms));
         count.remove_expired(at(ms));
         assert_eq!(count.boxes(0), Some(295), "after {ms} ms");
     }
-    count.hear(&told("north", 100), at(40_000));
+    count.receive(&told("north", 100), at(40_000));
     count.remove_expired(at(40_000));
     assert_eq!(count.boxes(0), Some(100));
 }
@@ -42,17 +42,17 @@
 fn domains_that_were_never_heard_of_count_like_the_largest() {
     let mut count = BoxCount::default();
     assert_eq!(count.boxes(3), None);
-    count.hear(&told("north", 59), at(0));
+    count.receive(&told("north", 59), at(0));
     assert_eq!(count.boxes(3), Some(177));
-    count.hear(&told("south", 30), at(200));
+    count.receive(&told("south", 30), at(200));
     assert_eq!(count.boxes(3), Some(148));
-    count.hear(&told("west", 7), at(400));
+    count.receive(&told("west", 7), at(400));
     assert_eq!(count.boxes(3), Some(96));
     // More domains are heard of than the settings tell.
     assert_eq!(count.boxes(2), Some(96));
     // Cut off for long, the north still leaves the others their share.
     for ms in (400..50_000).step_by(200) {
-        count.hear(&told("north", 59), at(ms));
+        count.receive(&told("north", 59), at(ms));
         count.remove_expired(at(ms));
         assert!(count.boxes(3) >= Some(96), "after {ms} ms");
     }
@@ -61,15 +61,15 @@
 #[test]
 fn a_smaller_number_is_believed_once_it_holds_and_a_larger_at_once() {
     let mut count = BoxCount::default();
-    count.hear(&told("north", 64), at(0));
+    count.receive(&told("north", 64), at(0));
     // A collector that was just chosen is not reported to by all yet.
-    count.hear(&told("north", 3), at(200));
+    count.receive(&told("north", 3), at(200));
     assert_eq!(count.boxes(0), Some(64));
-    count.hear(&told("north", 64), at(800));
-    count.hear(&told("north", 125), at(1_000));
+    count.receive(&told("north", 64), at(800));
+    count.receive(&told("north", 125), at(1_000));
     assert_eq!(count.boxes(0), Some(125));
     for ms in (1_200..4_200).step_by(200) {
-        count.hear(&told("north", 64), at(ms));
+        count.receive(&told("north", 64), at(ms));
     }
     assert_eq!(count.boxes(0), Some(64));
 }
@@ -109,11 +109,11 @@
             let ip = IpAddr::from(Ipv4Addr::new(10, 0, 0, of as u8));
             let run = report.run;
             let there = &mut self.collectors[collector];
-            there.hear(report, ip, now);
-            there.sum_up(now);
+            there.receive(report, ip, now);
+            there.update_totals(now);
             let answers = there.answers(run, self.number);
             for answer in answers {
-                self.remote_loads[of].hear(answer, &mut Fleet::default(), now);
+                self.remote_loads[of].receive(answer, &mut Fleet::default(), now);
             }
         }
     }
--- a/reachtally-core/tests/core/forward/era.rs
+++ b/reachtally-core/tests/core/forward/era.rs
@@ -4,15 +4,15 @@
 
 use proptest::prelude::*;
 use reachtally_core::Instant;
-use reachtally_core::forward::era::{Era, Eras, Outdated, Position};
+use reachtally_core::forward::era::{Era, EraTracker, Outdated, Position};
 
 fn at(ms: u64) -> Instant {
     Instant::from_elapsed(Duration::from_millis(ms))
 }
 
 /// An answer to a call that began at `began` and took 5 ms.
-fn answer(eras: &mut Eras, told: u64, began: u64) -> Result<Era, Outdated> {
-    eras.of_answer(Some(Era(told)), at(began), at(began + 5))
+fn answer(eras: &mut EraTracker, told: u64, began: u64) -> Result<Era, Outdated> {
+    eras.era_of_answer(Some(Era(told)), at(began), at(began + 5))
 }
 
 #[test]
@@ -28,7 +28,7 @@
 
 #[test]
 fn the_first_era_heard_of_is_no_return() {
-    let mut eras = Eras::default();
+    let mut eras = EraTracker::default();
     assert_eq!(answer(&mut eras, 7, 0), Ok(Era(7)));
     assert_eq!(eras.changed_at(), None);
     assert_eq!(answer(&mut eras, 8, 100), Ok(Era(8)));
@@ -37,56 +37,56 @@
 
 #[test]
 fn an_answer_of_an_earlier_era_that_comes_late_is_outdated() {
-    let mut eras = Eras::default();
+    let mut eras = EraTracker::default();
     assert_eq!(answer(&mut eras, 1, 0), Ok(Era(1)));
     assert_eq!(answer(&mut eras, 2, 100), Ok(Era(2)));
-    let late = eras.of_answer(Some(Era(1)), at(50), at(300));
+    let late = eras.era_of_answer(Some(Era(1)), at(50), at(300));
     assert_eq!(late, Err(Outdated));
     assert_eq!(eras.held(), Era(2));
 }
 
 #[test]
 fn an_answer_without_an_era_is_of_the_one_that_is_known() {
-    let mut eras = Eras::default();
-    assert_eq!(eras.of_answer(None, at(0), at(5)), Ok(Era(0)));
+    let mut eras = EraTracker::default();
+    assert_eq!(eras.era_of_answer(None, at(0), at(5)), Ok(Era(0)));
     assert_eq!(answer(&mut eras, 3, 100), Ok(Era(3)));
-    assert_eq!(eras.of_answer(None, at(200), at(205)), Ok(Era(3)));
+    assert_eq!(eras.era_of_answer(None, at(200), at(205)), Ok(Era(3)));
 }
 
 #[test]
 fn an_era_that_falls_counts_as_one_more_once() {
-    let mut eras = Eras::default();
+    let mut eras = EraTracker::default();
     assert_eq!(answer(&mut eras, 7, 0), Ok(Era(7)));
     assert_eq!(answer(&mut eras, 2, 100), Ok(Era(8)));
     for ms in [200, 300] {
         assert_eq!(answer(&mut eras, 2, ms), Ok(Era(8)));
     }
     // Other boxes find out by themselves, and tell each other; that goes on no further.
-    assert!(eras.hear(Era(9), Some(at(400))));
+    assert!(eras.update(Era(9), Some(at(400))));
     assert_eq!(answer(&mut eras, 2, 500), Ok(Era(9)));
     assert_eq!(answer(&mut eras, 10, 600), Ok(Era(10)));
 }
 
 #[test]
 fn another_box_tells_of_a_return_that_this_one_did_not_see() {
-    let mut eras = Eras::default();
+    let mut eras = EraTracker::default();
     assert_eq!(answer(&mut eras, 4, 2_000), Ok(Era(4)));
-    assert!(!eras.hear_of_return(Era(4), at(1_500)));
-    assert!(eras.is_back_since(Duration::from_secs(1), at(2_400)));
-    assert!(!eras.is_back_since(Duration::from_secs(1), at(2_600)));
+    assert!(!eras.receive_rollback(Era(4), at(1_500)));
+    assert!(eras.was_rolled_back_within(Duration::from_secs(1), at(2_400)));
+    assert!(!eras.was_rolled_back_within(Duration::from_secs(1), at(2_600)));
 }
 
 proptest! {
     /// Whatever answers name, what is held never falls, and an answer is of the era held or of none.
     #[test]
     fn eras_never_fall(told in prop::collection::vec((prop::option::of(0u64..5), 0u64..50), 1..40)) {
-        let mut eras = Eras::default();
+        let mut eras = EraTracker::default();
         let mut now = 0;
         for (told, back) in told {
             let before = eras.held();
             now += 20;
             let began = at(now - back.min(now));
-            let of = eras.of_answer(told.map(Era), began, at(now));
+            let of = eras.era_of_answer(told.map(Era), began, at(now));
             prop_assert!(eras.held() >= before);
             prop_assert!(of.is_err() || of == Ok(eras.held()));
         }
--- a/reachtally-core/tests/core/forward/fingerprint.rs
+++ b/reachtally-core/tests/core/forward/fingerprint.rs
@@ -1,8 +1,8 @@
 //! What makes two requests the same one.
 
-use reachtally_core::forward::fingerprint::{Fingerprint, Identity};
+use reachtally_core::forward::fingerprint::{Fingerprint, RequestIdentity};
 
-const REQUEST: Identity<'static> = Identity {
+const REQUEST: RequestIdentity<'static> = RequestIdentity {
     method: "POST",
     host: "shop.example",
     path: "/chat/report?a=1",
@@ -18,7 +18,7 @@
 
 #[test]
 fn the_case_of_the_host_does_not_count() {
-    let shouted = Identity {
+    let shouted = RequestIdentity {
         host: "SHOP.example",
         ..REQUEST
     };
@@ -28,41 +28,41 @@
 #[test]
 fn all_else_counts() {
     let others = [
-        Identity {
+        RequestIdentity {
             method: "GET",
             ..REQUEST
         },
-        Identity {
+        RequestIdentity {
             host: "other.example",
             ..REQUEST
         },
-        Identity {
+        RequestIdentity {
             path: "/chat/report?a=2",
             ..REQUEST
         },
-        Identity {
+        RequestIdentity {
             account: Some("other"),
             ..REQUEST
         },
-        Identity {
+        RequestIdentity {
             account: None,
             ..REQUEST
         },
-        Identity {
+        RequestIdentity {
             account: Some(""),
             ..REQUEST
         },
-        Identity {
+        RequestIdentity {
             body: b"",
             ..REQUEST
         },
         // What moves from one field to the next.
-        Identity {
+        RequestIdentity {
             account: Some("acme{"),
             body: b"}",
             ..REQUEST
         },
-        Identity {
+        RequestIdentity {
             host: "shop.example/",
             path: "chat/report?a=1",
             ..REQUEST
--- a/reachtally-core/tests/core/forward/fleet.rs
+++ b/reachtally-core/tests/core/forward/fleet.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use reachtally_core::Instant;
-use reachtally_core::forward::fleet::{Born, Entry, Evidence, Fleet};
+use reachtally_core::forward::fleet::{Entry, EntrySource, Fleet, StartTime};
 
 use super::setup::{entry, run_entry};
 
@@ -29,35 +29,45 @@
         draining: true,
         ..ready.clone()
     };
-    let (key, _) = fleet.upsert(leaving, Evidence::Written, at(0));
-    fleet.upsert(ready, Evidence::Written, at(10));
+    let (key, _) = fleet.upsert(leaving, EntrySource::Written, at(0));
+    fleet.upsert(ready, EntrySource::Written, at(10));
     assert!(fleet.get(key).expect("it is known").entry.draining);
 }
 
 #[test]
 fn a_heartbeat_that_was_on_its_way_does_not_revive_a_dead_target() {
     let mut fleet = Fleet::default();
-    let (key, _) = fleet.upsert(entry(0, "a", "small", 0..8), Evidence::Written, at(0));
+    let (key, _) = fleet.upsert(entry(0, "a", "small", 0..8), EntrySource::Written, at(0));
     fleet
         .get_mut(key)
         .expect("it is known")
         .health
-        .found_dead(at(1_000));
-    fleet.upsert(entry(0, "a", "small", 0..8), Evidence::Written, at(1_500));
+        .mark_dead(at(1_000));
+    fleet.upsert(
+        entry(0, "a", "small", 0..8),
+        EntrySource::Written,
+        at(1_500),
+    );
     assert_eq!(fleet.dead(), vec![key]);
-    fleet.upsert(entry(0, "a", "small", 0..8), Evidence::Written, at(4_000));
+    fleet.upsert(
+        entry(0, "a", "small", 0..8),
+        EntrySource::Written,
+        at(4_000),
+    );
     assert!(fleet.dead().is_empty());
 }
 
 #[test]
 fn failures_in_a_row_double_the_hold_off_up_to_a_bound() {
     let mut fleet = Fleet::default();
-    let (key, _) = fleet.upsert(entry(0, "a", "small", 0..8), Evidence::Written, at(0));
+    let (key, _) = fleet.upsert(entry(0, "a", "small", 0..8), EntrySource::Written, at(0));
     let mut now = at(0);
     let mut holds = Vec::new();
     for _ in 0..7 {
-        fleet.failed(key, now);
-        let until = fleet.get(key).and_then(|engine| engine.health.held_until);
+        fleet.record_failure(key, now);
+        let until = fleet
+            .get(key)
+            .and_then(|engine| engine.health.cooldown_until);
         let until = until.expect("it is held off");
         holds.push(until.since(now).as_millis());
         now = until;
@@ -68,12 +78,12 @@
 #[test]
 fn a_full_target_is_held_off_shortly_and_without_doubling() {
     let mut fleet = Fleet::default();
-    let (key, _) = fleet.upsert(entry(0, "a", "small", 0..8), Evidence::Written, at(0));
+    let (key, _) = fleet.upsert(entry(0, "a", "small", 0..8), EntrySource::Written, at(0));
     for start in [0, 1_000, 2_000, 3_000] {
         let engine = fleet.get_mut(key).expect("it is known");
         engine.health.refused(at(start));
-        assert!(engine.health.is_held(at(start + 100)));
-        assert!(!engine.health.is_held(at(start + 200)));
+        assert!(engine.health.is_cooling_down(at(start + 100)));
+        assert!(!engine.health.is_cooling_down(at(start + 200)));
     }
 }
 
@@ -81,8 +91,8 @@
 fn an_address_that_passes_to_another_run_names_that_run() {
     let mut fleet = Fleet::default();
     let (first, second) = two_runs_at_one_address();
-    fleet.upsert(first.clone(), Evidence::Written, at(0));
-    let (key, _) = fleet.upsert(second, Evidence::Written, at(1));
+    fleet.upsert(first.clone(), EntrySource::Written, at(0));
+    let (key, _) = fleet.upsert(second, EntrySource::Written, at(1));
     fleet.remove(&first.id, Instant::ZERO);
     assert_eq!(fleet.at(first.address), Some(key));
 }
@@ -90,12 +100,16 @@
 #[test]
 fn entries_missing_after_an_outage_are_dropped_only_after_a_while() {
     let mut fleet = Fleet::default();
-    let (key, _) = fleet.upsert(entry(0, "a", "small", 0..8), Evidence::Written, at(0));
-    fleet.miss("e0", at(100));
+    let (key, _) = fleet.upsert(entry(0, "a", "small", 0..8), EntrySource::Written, at(0));
+    fleet.mark_missing("e0", at(100));
     let patience = Duration::from_millis(1500);
     assert!(fleet.missing(at(1_000), patience).is_empty());
     assert_eq!(fleet.missing(at(1_600), patience), vec!["e0".into()]);
-    fleet.upsert(entry(0, "a", "small", 0..8), Evidence::Written, at(1_650));
+    fleet.upsert(
+        entry(0, "a", "small", 0..8),
+        EntrySource::Written,
+        at(1_650),
+    );
     assert!(fleet.missing(at(9_000), patience).is_empty());
     assert!(fleet.get(key).is_some());
 }
@@ -103,15 +117,19 @@
 #[test]
 fn a_list_is_no_sign_of_life() {
     let mut fleet = Fleet::default();
-    let (key, _) = fleet.upsert(entry(0, "a", "small", 0..8), Evidence::Written, at(0));
+    let (key, _) = fleet.upsert(entry(0, "a", "small", 0..8), EntrySource::Written, at(0));
     fleet
         .get_mut(key)
         .expect("it is known")
         .health
-        .found_dead(at(100));
-    fleet.upsert(entry(0, "a", "small", 0..8), Evidence::Listed, at(4_000));
+        .mark_dead(at(100));
+    fleet.upsert(entry(0, "a", "small", 0..8), EntrySource::Listed, at(4_000));
     assert!(fleet.get(key).expect("it is known").health.is_dead());
-    fleet.upsert(entry(0, "a", "small", 0..8), Evidence::Written, at(4_100));
+    fleet.upsert(
+        entry(0, "a", "small", 0..8),
+        EntrySource::Written,
+        at(4_100),
+    );
     assert!(!fleet.get(key).expect("it is known").health.is_dead());
 }
 
@@ -119,8 +137,8 @@
 fn a_run_whose_address_has_passed_to_another_is_neither_used_nor_asked() {
     let mut fleet = Fleet::default();
     let (first, second) = two_runs_at_one_address();
-    let (old, _) = fleet.upsert(first, Evidence::Written, at(0));
-    let (new, _) = fleet.upsert(second, Evidence::Written, at(10));
+    let (old, _) = fleet.upsert(first, EntrySource::Written, at(0));
+    let (new, _) = fleet.upsert(second, EntrySource::Written, at(10));
     assert!(fleet.get(old).expect("it is known").health.is_dead());
     assert!(!fleet.get(new).expect("it is known").health.is_dead());
     assert!(fleet.dead().is_empty());
@@ -129,17 +147,25 @@
 #[test]
 fn a_target_that_contradicts_its_entry_is_left_alone_until_that_changes() {
     let mut fleet = Fleet::default();
-    let (key, _) = fleet.upsert(entry(0, "a", "small", 0..8), Evidence::Written, at(0));
+    let (key, _) = fleet.upsert(entry(0, "a", "small", 0..8), EntrySource::Written, at(0));
     let is_contradicted = |fleet: &Fleet, ms| {
         let engine = fleet.get(key).expect("it is known");
         engine.health.is_contradicted(at(ms))
     };
     let health = &mut fleet.get_mut(key).expect("it is known").health;
-    health.contradicted(at(100));
+    health.mark_contradicted(at(100));
     // The same entry again is what it contradicted.
-    fleet.upsert(entry(0, "a", "small", 0..8), Evidence::Written, at(1_000));
+    fleet.upsert(
+        entry(0, "a", "small", 0..8),
+        EntrySource::Written,
+        at(1_000),
+    );
     assert!(is_contradicted(&fleet, 1_001));
-    fleet.upsert(entry(0, "a", "small", 2..9), Evidence::Written, at(2_000));
+    fleet.upsert(
+        entry(0, "a", "small", 2..9),
+        EntrySource::Written,
+        at(2_000),
+    );
     assert!(!is_contradicted(&fleet, 2_001));
 }
 
@@ -150,20 +176,20 @@
         draining: true,
         ..run_entry(1_000)
     };
-    let (before, _) = fleet.upsert(leaving, Evidence::Written, at(0));
+    let (before, _) = fleet.upsert(leaving, EntrySource::Written, at(0));
     fleet.begin(&[before], 700.0);
-    fleet.begin_reading(&[before], 500.0);
+    fleet.begin_prefill(&[before], 500.0);
     let engine = fleet.get_mut(before).expect("it is known");
-    engine.told_pace(8.0, at(0));
-    engine.remote_silent = 5;
-    engine.health.found_dead(at(10));
-    engine.health.contradicted(at(10));
-    fleet.failed(before, at(10));
+    engine.record_slowdown(8.0, at(0));
+    engine.remote_unresponsive = 5;
+    engine.health.mark_dead(at(10));
+    engine.health.mark_contradicted(at(10));
+    fleet.record_failure(before, at(10));
     let empty = Entry {
         layers: 0..0,
         ..run_entry(2_000)
     };
-    let (after, is_news) = fleet.upsert(empty, Evidence::Listed, at(20));
+    let (after, is_news) = fleet.upsert(empty, EntrySource::Listed, at(20));
     assert!(is_news && after != before);
     assert!(fleet.get(before).is_none());
     assert_eq!(fleet.find("e0"), Some(after));
@@ -173,28 +199,30 @@
         (engine.running, engine.tokens, engine.reading),
         (0, 0.0, 0.0)
     );
-    assert_eq!(engine.slowness(at(20)), 1.0);
+    assert_eq!(engine.slowdown(at(20)), 1.0);
     let health = &engine.health;
-    assert!(!health.is_dead() && !health.is_held(at(20)) && !health.is_contradicted(at(20)));
-    assert!(!engine.is_remotely_silent());
+    assert!(
+        !health.is_dead() && !health.is_cooling_down(at(20)) && !health.is_contradicted(at(20))
+    );
+    assert!(!engine.is_reported_unresponsive());
     // What ends now ran on the earlier run.
-    fleet.end_reading(&[before], 500.0);
+    fleet.end_prefill(&[before], 500.0);
     fleet.end(&[before], 700.0);
-    fleet.failed(before, at(30));
+    fleet.record_failure(before, at(30));
     assert!(
         !fleet
             .get(after)
             .expect("it is known")
             .health
-            .is_held(at(30))
+            .is_cooling_down(at(30))
     );
 }
 
 #[test]
 fn what_an_earlier_run_wrote_and_is_read_late_changes_nothing() {
     let mut fleet = Fleet::default();
-    let (key, _) = fleet.upsert(run_entry(2_000), Evidence::Written, at(0));
-    for evidence in [Evidence::Written, Evidence::Listed] {
+    let (key, _) = fleet.upsert(run_entry(2_000), EntrySource::Written, at(0));
+    for evidence in [EntrySource::Written, EntrySource::Listed] {
         let late = Entry {
             layers: 3..9,
             ..run_entry(1_000)
@@ -207,11 +235,11 @@
 #[test]
 fn an_entry_that_tells_a_start_ahead_of_time_does_not_shut_out_the_run_that_goes_on_writing() {
     let mut fleet = Fleet::default();
-    fleet.upsert(run_entry(1_000), Evidence::Written, at(0));
-    let (ahead, _) = fleet.upsert(run_entry(90_000), Evidence::Written, at(500));
-    fleet.upsert(run_entry(1_000), Evidence::Written, at(1_200));
+    fleet.upsert(run_entry(1_000), EntrySource::Written, at(0));
+    let (ahead, _) = fleet.upsert(run_entry(90_000), EntrySource::Written, at(500));
+    fleet.upsert(run_entry(1_000), EntrySource::Written, at(1_200));
     assert!(fleet.get(ahead).is_some());
-    fleet.upsert(run_entry(1_000), Evidence::Written, at(4_800));
+    fleet.upsert(run_entry(1_000), EntrySource::Written, at(4_800));
     let key = fleet.find("e0").expect("it is known");
     assert_eq!(fleet.get(key).expect("it is known").entry, run_entry(1_000));
 }
@@ -219,11 +247,17 @@
 #[test]
 fn an_entry_without_a_start_is_of_the_run_that_is_known() {
     let mut fleet = Fleet::default();
-    let (key, _) = fleet.upsert(run_entry(2_000), Evidence::Written, at(0));
+    let (key, _) = fleet.upsert(run_entry(2_000), EntrySource::Written, at(0));
     let told = entry(0, "a", "small", 2..9);
-    assert_eq!(fleet.upsert(told, Evidence::Written, at(10)), (key, true));
+    assert_eq!(
+        fleet.upsert(told, EntrySource::Written, at(10)),
+        (key, true)
+    );
     let held = &fleet.get(key).expect("it is known").entry;
-    assert_eq!((held.born, held.layers.clone()), (Some(Born(2_000)), 2..9));
+    assert_eq!(
+        (held.born, held.layers.clone()),
+        (Some(StartTime(2_000)), 2..9)
+    );
 }
 
 #[test]
@@ -234,8 +268,8 @@
         address: ([10, 9, 9, 9], 80).into(),
         ..first.clone()
     };
-    let (key, _) = fleet.upsert(first.clone(), Evidence::Written, at(0));
-    fleet.upsert(moved.clone(), Evidence::Written, at(10));
+    let (key, _) = fleet.upsert(first.clone(), EntrySource::Written, at(0));
+    fleet.upsert(moved.clone(), EntrySource::Written, at(10));
     assert_eq!(fleet.at(moved.address), Some(key));
     assert_eq!(fleet.at(first.address), None);
     // Another target comes to the address that it left.
@@ -243,7 +277,7 @@
         id: "other".into(),
         ..first
     };
-    fleet.upsert(other, Evidence::Written, at(20));
+    fleet.upsert(other, EntrySource::Written, at(20));
     assert!(!fleet.get(key).expect("it is known").health.is_dead());
 }
 
@@ -251,17 +285,17 @@
 fn a_target_that_goes_on_writing_is_back_though_another_claimed_its_address() {
     let mut fleet = Fleet::default();
     let (first, second) = two_runs_at_one_address();
-    let (key, _) = fleet.upsert(first.clone(), Evidence::Written, at(0));
-    fleet.upsert(second, Evidence::Written, at(10));
+    let (key, _) = fleet.upsert(first.clone(), EntrySource::Written, at(0));
+    fleet.upsert(second, EntrySource::Written, at(10));
     let is_dead = |fleet: &Fleet| fleet.get(key).expect("it is known").health.is_dead();
     // A heartbeat that was on its way proves nothing.
     assert_eq!(
-        fleet.upsert(first.clone(), Evidence::Written, at(900)),
+        fleet.upsert(first.clone(), EntrySource::Written, at(900)),
         (key, false)
     );
     assert!(is_dead(&fleet));
     assert_eq!(
-        fleet.upsert(first.clone(), Evidence::Written, at(2_100)),
+        fleet.upsert(first.clone(), EntrySource::Written, at(2_100)),
         (key, true)
     );
     assert!(!is_dead(&fleet));
@@ -272,13 +306,13 @@
 /// written is done late.
 #[test]
 fn an_entry_of_an_earlier_run_that_is_written_late_does_not_take_the_address_of_the_later_one() {
-    for evidence in [Evidence::Written, Evidence::Listed] {
+    for evidence in [EntrySource::Written, EntrySource::Listed] {
         let mut fleet = Fleet::default();
         let later = Entry {
             id: "later".into(),
             ..run_entry(2_000)
         };
-        let (new, _) = fleet.upsert(later.clone(), Evidence::Written, at(0));
+        let (new, _) = fleet.upsert(later.clone(), EntrySource::Written, at(0));
         let (old, _) = fleet.upsert(run_entry(1_000), evidence, at(10));
         let is_dead = |fleet: &Fleet, key| fleet.get(key).expect("it is known").health.is_dead();
         assert!(is_dead(&fleet, old) && !is_dead(&fleet, new));
--- a/reachtally-core/tests/core/forward/freshness.rs
+++ b/reachtally-core/tests/core/forward/freshness.rs
@@ -13,7 +13,7 @@
 
 #[test]
 fn nothing_is_fresh_before_the_first_read() {
-    assert!(!Freshness::default().holds(at(0), BOUND));
+    assert!(!Freshness::default().is_fresh(at(0), BOUND));
 }
 
 #[test]
@@ -22,11 +22,11 @@
     freshness.confirm(at(1_000));
     let last = at(6_000) - at(0) - FRESHNESS_MARGIN;
     let last = Instant::from_elapsed(last);
-    assert!(freshness.holds(
+    assert!(freshness.is_fresh(
         Instant::from_elapsed(last.elapsed() - Duration::from_millis(1)),
         BOUND
     ));
-    assert!(!freshness.holds(last, BOUND));
+    assert!(!freshness.is_fresh(last, BOUND));
 }
 
 #[test]
--- a/reachtally-core/tests/core/forward/heavy.rs
+++ b/reachtally-core/tests/core/forward/heavy.rs
@@ -203,7 +203,7 @@
             let there = &mut self.boxes[*at];
             let rows: Vec<EngineKey> = path.iter().map(|engine| there.keys[*engine]).collect();
             if !is_end {
-                there.fleet.end_reading(&rows, need.prompt);
+                there.fleet.end_prefill(&rows, need.prompt);
                 continue;
             }
             there.fleet.end(&rows, need.held());
@@ -222,7 +222,7 @@
                 let there = &mut self.boxes[at];
                 let row = there.keys[engine];
                 let row = there.fleet.get_mut(row).expect("engines never leave");
-                (row.remote_running, row.remote_tokens, row.remote_reading) = sums;
+                (row.remote_running, row.remote_tokens, row.remote_prefill) = sums;
             }
         }
     }
@@ -288,7 +288,7 @@
             token_ms += self.model.step_ms(&card, layers, 10.0) + HOP_MS;
         }
         there.fleet.begin(&rows, need.held());
-        there.fleet.begin_reading(&rows, need.prompt);
+        there.fleet.begin_prefill(&rows, need.prompt);
         let first = read_at + token_ms;
         self.outcome.in_time += u32::from(first - now as f64 <= OBJECTIVE_MS);
         let end = first + token_ms * need.answer;
--- a/reachtally-core/tests/core/forward/limit.rs
+++ b/reachtally-core/tests/core/forward/limit.rs
@@ -3,10 +3,11 @@
 use std::time::Duration;
 
 use reachtally_core::Instant;
-use reachtally_core::forward::fleet::{Evidence, Fleet, TargetRun};
+use reachtally_core::forward::fleet::{EntrySource, Fleet, TargetRun};
 use reachtally_core::forward::limit::{
-    Allocator, Demand, DemandPart, DemandRate, Extent, LimitReport, LimitedTarget, PERMIT_LIFE,
-    PermitRequest, Permits, RateLimit, ServiceDemand, StatedLimit, apply, changes, page,
+    Allocator, Demand, DemandPart, DemandRate, LimitReport, LimitedTarget, PERMIT_TTL,
+    PermitRequest, Permits, RateLimit, ServiceDemand, SharingScope, StatedLimit, apply, changes,
+    page,
 };
 use reachtally_core::forward::select::{Circumstance, Limits, path};
 use reachtally_core::ids::Incarnation;
@@ -59,24 +60,24 @@
     }
 }
 
-const ALONE: Extent = Extent {
+const ALONE: SharingScope = SharingScope {
     domains: 1,
-    largest_part: 1.0,
+    max_share: 1.0,
 };
 
 /// Permits that collectors issue for one target, with their times, where each has `boxes` boxes with this demand.
 fn issued(per_second: f64, collectors: usize, boxes: u64, rate: f64, ms: u64) -> Vec<u64> {
     let targets = [target("t", per_second)];
-    let extent = Extent {
+    let scope = SharingScope {
         domains: collectors,
-        largest_part: 1.0,
+        max_share: 1.0,
     };
     let mut allocators: Vec<Allocator> = (0..collectors).map(|_| Allocator::default()).collect();
     let mut times = Vec::new();
     for now in (0..ms).step_by(10) {
         if now % REFILL_MS == 0 {
             for allocator in &mut allocators {
-                allocator.refill(&targets, extent, at(now));
+                allocator.refill(&targets, scope, at(now));
             }
         }
         if now % REQUEST_MS == 0 {
@@ -117,7 +118,7 @@
 
 /// Most arrivals in a window, where each permit may be used until it expires.
 fn most_in_window(times: &[u64]) -> usize {
-    let life = PERMIT_LIFE.as_millis() as u64;
+    let life = PERMIT_TTL.as_millis() as u64;
     let in_window = |from: u64| {
         let end = from + WINDOW_MS + life;
         times.iter().filter(|at| (from..end).contains(*at)).count()
@@ -228,14 +229,14 @@
 fn a_collector_that_nobody_knows_issues_its_part_alone() {
     let mut allocator = Allocator::default();
     let targets = [target("t", 64.0)];
-    let extent = Extent {
+    let scope = SharingScope {
         domains: 1,
-        largest_part: 1.0 / 64.0,
+        max_share: 1.0 / 64.0,
     };
     let mut count = 0;
     for number in 1..=100 {
         let now = at(number * REQUEST_MS);
-        allocator.refill(&targets, extent, now);
+        allocator.refill(&targets, scope, now);
         let answer = allocator.answer(request(1, number, 100.0), now);
         count += answer.expect("it is newer").grants.len();
     }
@@ -246,14 +247,14 @@
 fn a_domain_that_is_not_heard_of_keeps_its_part() {
     let mut allocator = Allocator::default();
     let targets = [target("t", 9.0)];
-    let extent = Extent {
+    let scope = SharingScope {
         domains: 3,
-        largest_part: 1.0,
+        max_share: 1.0,
     };
     let mut count = 0;
     for number in 1..=100 {
         let now = at(number * REQUEST_MS);
-        allocator.refill(&targets, extent, now);
+        allocator.refill(&targets, scope, now);
         let answer = allocator.answer(request(1, number, 100.0), now);
         let grants = answer.expect("it is newer").grants;
         count += grants.iter().map(|grant| grant.count).sum::<u32>();
@@ -289,7 +290,7 @@
         at: at(ms),
     };
     let mut is_changed = false;
-    fleet.note(&run(id), at(ms), |notice| {
+    fleet.update_notice(&run(id), at(ms), |notice| {
         is_changed = notice.state_limit(stated, at(ms));
     });
     is_changed
@@ -345,9 +346,9 @@
         age: Duration::from_millis(500),
     };
     assert!(!apply(&mut fleet, &report, at(1_200)));
-    assert_eq!(fleet.limit_of(&run("e0")), None);
+    assert_eq!(fleet.rate_limit_of(&run("e0")), None);
     assert!(apply(&mut fleet, &report, at(1_600)));
-    assert_eq!(fleet.limit_of(&run("e0")), Some(limit(4.0)));
+    assert_eq!(fleet.rate_limit_of(&run("e0")), Some(limit(4.0)));
 }
 
 #[test]
@@ -384,13 +385,13 @@
         age: Duration::ZERO,
     };
     apply(&mut fleet, &report, at(0));
-    assert!(!fleet.is_gone(&run("e0")));
+    assert!(!fleet.was_removed(&run("e0")));
     let entry = entry(0, "a", "large", 0..30);
-    fleet.upsert(entry, Evidence::Listed, at(10));
-    assert_eq!(fleet.limit_of(&run("e0")), Some(limit(4.0)));
+    fleet.upsert(entry, EntrySource::Listed, at(10));
+    assert_eq!(fleet.rate_limit_of(&run("e0")), Some(limit(4.0)));
     fleet.remove("e0", at(20));
     apply(&mut fleet, &report, at(30));
-    assert!(fleet.is_gone(&run("e0")));
+    assert!(fleet.was_removed(&run("e0")));
 }
 
 #[test]
--- a/reachtally-core/tests/core/forward/loads.rs
+++ b/reachtally-core/tests/core/forward/loads.rs
@@ -7,7 +7,7 @@
 
 use reachtally_core::Instant;
 use reachtally_core::forward::count::DomainCount;
-use reachtally_core::forward::fleet::{Engine, Evidence, Fleet, RunMark, TargetRun};
+use reachtally_core::forward::fleet::{Engine, EntrySource, Fleet, RunMark, TargetRun};
 use reachtally_core::forward::loads::{
     Collector, Load, Others, Part, RemoteLoads, Report, ReportPage, TargetLoad, own_report,
 };
@@ -82,7 +82,7 @@
 
 /// Requests that box `run` learns of on `target`.
 fn told(collector: &Collector, run: u64, target: &str) -> u32 {
-    let others = collector.all_but(Incarnation(run));
+    let others = collector.all_except(Incarnation(run));
     let found = others.loads.iter().find(|told| &*told.target.id == target);
     found.map_or(0, |told| told.load.running)
 }
@@ -90,7 +90,7 @@
 /// Let a box hear everything and put it on its targets.
 fn apply(fleet: &mut Fleet, others: Others, heard: Instant, now: Instant) {
     let mut remote_loads = RemoteLoads::default();
-    remote_loads.hear(others, fleet, heard);
+    remote_loads.receive(others, fleet, heard);
     remote_loads.remove_expired(fleet, now);
 }
 
@@ -106,15 +106,15 @@
     assert!(told.loads.is_empty());
     here.get_mut(keys[0])
         .expect("it is known")
-        .told_pace(3.0, at(0));
+        .record_slowdown(3.0, at(0));
     let told = own_report(Incarnation(9), 2, &here, at(100));
     let (mut there, _) = fleet([entry(0, "a", "small", 0..8)]);
     let mut collector = Collector::new("north");
-    collector.hear(told, ip(9), at(100));
-    collector.sum_up(at(110));
+    collector.receive(told, ip(9), at(100));
+    collector.update_totals(at(110));
     let mut remote_loads = RemoteLoads::default();
-    remote_loads.hear(collector.all_but(Incarnation(8)), &mut there, at(110));
-    assert_eq!(first(&there).slowness(at(120)), 3.0);
+    remote_loads.receive(collector.all_except(Incarnation(8)), &mut there, at(110));
+    assert_eq!(first(&there).slowdown(at(120)), 3.0);
     // What it was told is forgotten, here by time and there with the report.
     assert!(
         own_report(Incarnation(9), 3, &here, at(3_000))
@@ -122,34 +122,34 @@
             .is_empty()
     );
     remote_loads.remove_expired(&mut there, at(3_000));
-    assert_eq!(first(&there).slowness(at(3_000)), 1.0);
+    assert_eq!(first(&there).slowdown(at(3_000)), 1.0);
 }
 
 #[test]
 fn loads_of_all_boxes_add_up_and_a_newer_report_replaces_an_older() {
     let (mut fleet, _) = fleet([entry(0, "a", "small", 0..8)]);
     let mut collector = Collector::new("north");
-    collector.hear(report(1, 1, 5), ip(1), at(0));
-    collector.hear(report(2, 1, 7), ip(2), at(0));
-    collector.hear(report(1, 2, 6), ip(1), at(200));
-    collector.hear(report(1, 1, 50), ip(1), at(210));
-    collector.sum_up(at(220));
+    collector.receive(report(1, 1, 5), ip(1), at(0));
+    collector.receive(report(2, 1, 7), ip(2), at(0));
+    collector.receive(report(1, 2, 6), ip(1), at(200));
+    collector.receive(report(1, 1, 50), ip(1), at(210));
+    collector.update_totals(at(220));
     apply(
         &mut fleet,
-        collector.all_but(Incarnation(3)),
+        collector.all_except(Incarnation(3)),
         at(220),
         at(230),
     );
     assert_eq!(first(&fleet).remote_running, 13.0);
     assert_eq!(first(&fleet).remote_tokens, 1300.0);
-    assert_eq!(first(&fleet).remote_reading, 130.0);
+    assert_eq!(first(&fleet).remote_prefill, 130.0);
 }
 
 #[test]
 fn a_silent_box_is_taken_to_have_nothing() {
     let mut collector = Collector::new("north");
-    collector.hear(report(1, 1, 5), ip(1), at(0));
-    collector.sum_up(at(2_000));
+    collector.receive(report(1, 1, 5), ip(1), at(0));
+    collector.update_totals(at(2_000));
     assert_eq!(told(&collector, 2, "e0"), 0);
     assert_eq!(boxes(&collector), 0);
 }
@@ -170,15 +170,15 @@
 #[test]
 fn a_box_hears_of_all_requests_but_its_own_also_before_its_next_report_is_summed_up() {
     let mut collector = Collector::new("north");
-    collector.hear(report(1, 1, 5), ip(1), at(0));
-    collector.hear(report(2, 1, 7), ip(2), at(0));
-    collector.hear_part(part(9, 4, 20), ABROAD, at(0));
-    collector.sum_up(at(10));
+    collector.receive(report(1, 1, 5), ip(1), at(0));
+    collector.receive(report(2, 1, 7), ip(2), at(0));
+    collector.receive_part(part(9, 4, 20), ABROAD, at(0));
+    collector.update_totals(at(10));
     assert_eq!(told(&collector, 1, "e0"), 27);
     assert_eq!(told(&collector, 2, "e0"), 25);
-    collector.hear(report(1, 2, 500), ip(1), at(20));
+    collector.receive(report(1, 2, 500), ip(1), at(20));
     assert_eq!(told(&collector, 1, "e0"), 27);
-    collector.sum_up(at(30));
+    collector.update_totals(at(30));
     assert_eq!(told(&collector, 2, "e0"), 520);
 }
 
@@ -186,9 +186,9 @@
 fn collectors_tell_each_other_only_what_is_reported_to_them() {
     let mut collector = Collector::new("north");
     assert!(collector.parts(Incarnation(1)).is_empty());
-    collector.hear(report(1, 1, 5), ip(1), at(0));
-    collector.hear_part(part(9, 4, 20), ABROAD, at(0));
-    collector.sum_up(at(10));
+    collector.receive(report(1, 1, 5), ip(1), at(0));
+    collector.receive_part(part(9, 4, 20), ABROAD, at(0));
+    collector.update_totals(at(10));
     let parts = collector.parts(Incarnation(1));
     assert_eq!(parts.len(), 1);
     assert_eq!(parts[0].boxes, 1);
@@ -197,8 +197,8 @@
     let peers: Vec<_> = collector.peers().collect();
     assert_eq!(peers, [("south", ABROAD)]);
     // A domain that is cut off is forgotten.
-    collector.hear(report(1, 2, 5), ip(1), at(1_900));
-    collector.sum_up(at(2_000));
+    collector.receive(report(1, 2, 5), ip(1), at(1_900));
+    collector.update_totals(at(2_000));
     assert_eq!(told(&collector, 2, "e0"), 5);
     assert_eq!(boxes(&collector), 1);
 }
@@ -206,10 +206,10 @@
 #[test]
 fn two_collectors_of_one_domain_add_up() {
     let mut collector = Collector::new("north");
-    collector.hear_part(part(8, 2, 20), ABROAD, at(0));
-    collector.hear_part(part(9, 3, 4), ABROAD, at(0));
-    collector.hear_part(part(8, 2, 21), ABROAD, at(100));
-    collector.sum_up(at(110));
+    collector.receive_part(part(8, 2, 20), ABROAD, at(0));
+    collector.receive_part(part(9, 3, 4), ABROAD, at(0));
+    collector.receive_part(part(8, 2, 21), ABROAD, at(100));
+    collector.update_totals(at(110));
     assert_eq!(told(&collector, 1, "e0"), 25);
     assert_eq!(boxes(&collector), 5);
 }
@@ -217,12 +217,12 @@
 #[test]
 fn a_box_that_restarts_or_leaves_for_another_collector_counts_once() {
     let mut collector = Collector::new("north");
-    collector.hear(report(1, 9, 5), ip(1), at(0));
-    collector.hear(report(2, 9, 5), ip(2), at(0));
+    collector.receive(report(1, 9, 5), ip(1), at(0));
+    collector.receive(report(2, 9, 5), ip(2), at(0));
     // The first has a new run at the same address; the second reports elsewhere.
-    collector.hear(report(7, 1, 0), ip(1), at(300));
+    collector.receive(report(7, 1, 0), ip(1), at(300));
     collector.leave(Incarnation(2));
-    collector.sum_up(at(310));
+    collector.update_totals(at(310));
     assert_eq!(boxes(&collector), 1);
     assert_eq!(told(&collector, 3, "e0"), 0);
 }
@@ -230,18 +230,18 @@
 #[test]
 fn the_end_of_what_ran_on_a_target_is_told() {
     let mut collector = Collector::new("north");
-    collector.hear(report(1, 1, 5), ip(1), at(0));
-    collector.sum_up(at(0));
+    collector.receive(report(1, 1, 5), ip(1), at(0));
+    collector.update_totals(at(0));
     let ended = Report {
         loads: Vec::new(),
         ..report(1, 2, 0)
     };
-    collector.hear(ended, ip(1), at(200));
-    collector.sum_up(at(210));
-    let others = collector.all_but(Incarnation(2));
+    collector.receive(ended, ip(1), at(200));
+    collector.update_totals(at(210));
+    let others = collector.all_except(Incarnation(2));
     assert_eq!(others.loads, [load_of("e0", 0)]);
-    collector.sum_up(at(1_400));
-    assert!(collector.all_but(Incarnation(2)).loads.is_empty());
+    collector.update_totals(at(1_400));
+    assert!(collector.all_except(Incarnation(2)).loads.is_empty());
 }
 
 #[test]
@@ -249,7 +249,7 @@
     let mut collector = Collector::new("north");
     let targets: Vec<String> = (0..190).map(|number| format!("e{number}")).collect();
     let loads = targets.iter().map(|target| load_of(target, 3)).collect();
-    collector.hear(
+    collector.receive(
         Report {
             loads,
             ..report(1, 1, 0)
@@ -257,7 +257,7 @@
         ip(1),
         at(0),
     );
-    collector.sum_up(at(0));
+    collector.update_totals(at(0));
     let answers = (6..8).flat_map(|number| collector.answers(Incarnation(2), number));
     let heard: BTreeSet<Arc<str>> = answers
         .flat_map(|others| others.loads)
@@ -273,7 +273,7 @@
         loads: Vec::new(),
         ..report(1, 1, 0)
     };
-    collector.hear(idle, ip(1), at(0));
+    collector.receive(idle, ip(1), at(0));
     let answers = collector.answers(Incarnation(1), 1);
     assert_eq!(answers.len(), 1);
     assert_eq!(answers[0].counts, [count("north", 1)]);
@@ -298,11 +298,11 @@
             loads,
             ..part(run, u32::MAX, 0)
         };
-        collector.hear_part(told, ABROAD, at(0));
+        collector.receive_part(told, ABROAD, at(0));
     }
-    collector.sum_up(at(0));
+    collector.update_totals(at(0));
     assert_eq!(boxes(&collector), u32::MAX);
-    let others = collector.all_but(Incarnation(9));
+    let others = collector.all_except(Incarnation(9));
     assert!(others.loads[0].load.running < u32::MAX);
     assert_eq!(others.loads[0].load.pace, None);
 }
@@ -319,11 +319,11 @@
 #[test]
 fn prompts_that_wait_are_told_until_they_are_read() {
     let (mut fleet, keys) = fleet([entry(0, "a", "small", 0..8), entry(1, "a", "small", 8..16)]);
-    fleet.begin_reading(&keys, 800.0);
+    fleet.begin_prefill(&keys, 800.0);
     let report = own_report(Incarnation(9), 1, &fleet, at(0));
     let reading: Vec<u32> = report.loads.iter().map(|told| told.load.reading).collect();
     assert_eq!(reading, [400, 400]);
-    fleet.end_reading(&keys, 800.0);
+    fleet.end_prefill(&keys, 800.0);
     assert!(
         own_report(Incarnation(9), 2, &fleet, at(0))
             .loads
@@ -336,25 +336,25 @@
 fn a_target_that_several_boxes_found_silent_is_the_last_choice_of_others_too() {
     let (mut here, keys) = fleet([entry(0, "a", "small", 0..8)]);
     let health = &mut here.get_mut(keys[0]).expect("it is known").health;
-    health.found_dead(at(0));
+    health.mark_dead(at(0));
     let mut collector = Collector::new("north");
     let (mut there, _) = fleet([entry(0, "a", "small", 0..8)]);
     let mut remote_loads = RemoteLoads::default();
     for run in 1..=2 {
         // One box alone may have lost its own link.
-        remote_loads.hear(collector.all_but(Incarnation(9)), &mut there, at(100));
-        assert!(!first(&there).is_remotely_silent());
+        remote_loads.receive(collector.all_except(Incarnation(9)), &mut there, at(100));
+        assert!(!first(&there).is_reported_unresponsive());
         let told = own_report(Incarnation(run), 1, &here, at(100));
-        collector.hear(told, ip(run), at(100));
-        collector.sum_up(at(100));
+        collector.receive(told, ip(run), at(100));
+        collector.update_totals(at(100));
     }
-    remote_loads.hear(collector.all_but(Incarnation(9)), &mut there, at(110));
-    assert!(first(&there).is_remotely_silent());
+    remote_loads.receive(collector.all_except(Incarnation(9)), &mut there, at(110));
+    assert!(first(&there).is_reported_unresponsive());
     // It holds no longer than it is told.
     remote_loads.remove_expired(&mut there, at(2_000));
-    assert!(!first(&there).is_remotely_silent());
+    assert!(!first(&there).is_reported_unresponsive());
     let health = &mut here.get_mut(keys[0]).expect("it is known").health;
-    health.found_alive(at(2_000));
+    health.mark_alive(at(2_000));
     let told = own_report(Incarnation(1), 2, &here, at(2_000));
     assert!(told.loads.is_empty());
 }
@@ -371,13 +371,13 @@
             loads: vec![told],
             ..report(box_run, 1, 0)
         };
-        collector.hear(report, ip(box_run), at(0));
+        collector.receive(report, ip(box_run), at(0));
     }
-    collector.sum_up(at(0));
+    collector.update_totals(at(0));
     let mut fleet = Fleet::default();
-    let (key, _) = fleet.upsert(run_entry(2_000), Evidence::Written, at(0));
+    let (key, _) = fleet.upsert(run_entry(2_000), EntrySource::Written, at(0));
     let mut remote_loads = RemoteLoads::default();
-    remote_loads.hear(collector.all_but(Incarnation(9)), &mut fleet, at(0));
+    remote_loads.receive(collector.all_except(Incarnation(9)), &mut fleet, at(0));
     let running = |fleet: &Fleet| fleet.get(key).map(|engine| engine.remote_running);
     assert_eq!(running(&fleet), Some(7.0));
     remote_loads.remove_expired(&mut fleet, at(100));
@@ -401,8 +401,8 @@
 
 /// Targets with a load that the collector knows of box 1.
 fn targets_known(collector: &mut Collector, ms: u64) -> usize {
-    collector.sum_up(at(ms));
-    let others = collector.all_but(Incarnation(9));
+    collector.update_totals(at(ms));
+    let others = collector.all_except(Incarnation(9));
     let busy = others.loads.iter().filter(|told| told.load.running > 0);
     busy.count()
 }
@@ -411,15 +411,15 @@
 fn a_report_of_which_a_page_is_lost_leaves_the_one_before_it() {
     let mut collector = Collector::new("north");
     for page in pages(1, 100) {
-        collector.hear_page(page, ip(1), at(0));
+        collector.receive_page(page, ip(1), at(0));
     }
     assert_eq!(targets_known(&mut collector, 0), 100);
     for page in pages(2, 90).into_iter().skip(1) {
-        collector.hear_page(page, ip(1), at(200));
+        collector.receive_page(page, ip(1), at(200));
     }
     assert_eq!(targets_known(&mut collector, 200), 100);
     for page in pages(3, 80).into_iter().rev() {
-        collector.hear_page(page, ip(1), at(400));
+        collector.receive_page(page, ip(1), at(400));
     }
     assert_eq!(targets_known(&mut collector, 400), 80);
 }
@@ -429,7 +429,7 @@
     let mut collector = Collector::new("north");
     let late = pages(1, 100);
     for page in pages(2, 90) {
-        collector.hear_page(page, ip(1), at(0));
+        collector.receive_page(page, ip(1), at(0));
     }
     let corrupt = [(5, 3), (0, u32::MAX), (0, 0)].map(|(index, count)| ReportPage {
         index,
@@ -437,7 +437,7 @@
         ..pages(3, 1).remove(0)
     });
     for page in late.into_iter().chain(corrupt) {
-        collector.hear_page(page, ip(1), at(0));
+        collector.receive_page(page, ip(1), at(0));
     }
     assert_eq!(targets_known(&mut collector, 0), 90);
 }
@@ -446,7 +446,7 @@
 fn stated(waiting: u32, ms: u64) -> Fleet {
     let (mut fleet, keys) = fleet([entry(0, "north", "small", 0..8)]);
     let engine = fleet.get_mut(keys[0]).expect("it is known");
-    engine.queues.state(waiting, at(ms));
+    engine.queues.record(waiting, at(ms));
     fleet
 }
 
@@ -463,16 +463,16 @@
         (2, stated(50, 400)),
         (3, stated(9, 200)),
     ] {
-        collector.hear(
+        collector.receive(
             own_report(Incarnation(run), 1, &fleet, at(500)),
             ip(run),
             at(500),
         );
     }
-    collector.sum_up(at(600));
+    collector.update_totals(at(600));
     let (mut here, _) = fleet([entry(0, "north", "small", 0..8)]);
     let mut remote_loads = RemoteLoads::default();
-    remote_loads.hear(collector.all_but(Incarnation(9)), &mut here, at(600));
+    remote_loads.receive(collector.all_except(Incarnation(9)), &mut here, at(600));
     assert_eq!(waiting(&here, 600), Some(50));
     remote_loads.remove_expired(&mut here, at(1_300));
     assert_eq!(waiting(&here, 1_300), Some(50));
--- a/reachtally-core/tests/core/forward/notice.rs
+++ b/reachtally-core/tests/core/forward/notice.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use reachtally_core::Instant;
-use reachtally_core::forward::fleet::{EngineKey, Entry, Evidence, Fleet, TargetRun};
+use reachtally_core::forward::fleet::{EngineKey, Entry, EntrySource, Fleet, TargetRun};
 use reachtally_core::forward::select::{
     Circumstance, Shortage, path, served_after_back_off, shortage,
 };
@@ -16,7 +16,7 @@
 
 /// Let a run ask for rest until `until`, at time 0.
 fn ask_for_rest(fleet: &mut Fleet, run: &TargetRun, until: Instant) {
-    fleet.note(run, Instant::ZERO, |notice| notice.back_off(until));
+    fleet.update_notice(run, Instant::ZERO, |notice| notice.back_off(until));
 }
 
 fn rests(fleet: &Fleet, id: &str, now: Instant) -> bool {
@@ -28,7 +28,7 @@
 /// A fleet with one run that wants rest until 9 s.
 fn tired(entry: &Entry) -> Fleet {
     let mut fleet = Fleet::default();
-    fleet.upsert(entry.clone(), Evidence::Written, at(0));
+    fleet.upsert(entry.clone(), EntrySource::Written, at(0));
     ask_for_rest(&mut fleet, &entry.run(), at(9_000));
     fleet
 }
@@ -54,7 +54,7 @@
         ..told.clone()
     };
     for back in [&told, &moved, &untold] {
-        for evidence in [Evidence::Written, Evidence::Listed] {
+        for evidence in [EntrySource::Written, EntrySource::Listed] {
             let mut fleet = tired(&told);
             fleet.remove("e0", at(1_000));
             fleet.upsert(back.clone(), evidence, at(2_000));
@@ -62,7 +62,7 @@
             // A second time, and while it is missing or changes its entry.
             fleet.remove("e0", at(4_000));
             fleet.upsert(back.clone(), evidence, at(5_000));
-            fleet.miss("e0", at(5_000));
+            fleet.mark_missing("e0", at(5_000));
             let changed = Entry {
                 layers: 3..9,
                 ..back.clone()
@@ -78,21 +78,21 @@
     let entry = run_entry(1_000);
     let mut fleet = Fleet::default();
     ask_for_rest(&mut fleet, &entry.run(), at(9_000));
-    fleet.upsert(entry, Evidence::Written, at(1_000));
+    fleet.upsert(entry, EntrySource::Written, at(1_000));
     assert!(rests(&fleet, "e0", at(2_000)));
 }
 
 #[test]
 fn a_later_run_owes_nothing_to_the_earlier_one() {
     let mut fleet = tired(&run_entry(1_000));
-    fleet.upsert(run_entry(2_000), Evidence::Written, at(1_000));
+    fleet.upsert(run_entry(2_000), EntrySource::Written, at(1_000));
     assert!(!rests(&fleet, "e0", at(1_000)));
     // What the earlier one asked for, in an answer that comes now.
     ask_for_rest(&mut fleet, &run_entry(1_000).run(), at(9_000));
     assert!(!rests(&fleet, "e0", at(1_000)));
     // After its row went, too.
     fleet.remove("e0", at(2_000));
-    fleet.upsert(run_entry(3_000), Evidence::Written, at(3_000));
+    fleet.upsert(run_entry(3_000), EntrySource::Written, at(3_000));
     assert!(!rests(&fleet, "e0", at(3_000)));
 }
 
@@ -111,7 +111,7 @@
             id: run(number).id,
             ..run_entry(1_000)
         };
-        fleet.upsert(entry, Evidence::Written, at(0));
+        fleet.upsert(entry, EntrySource::Written, at(0));
         assert_eq!(rests(&fleet, &format!("e{number}"), at(500)), holds);
     }
 }
--- a/reachtally-core/tests/core/forward/quarantine.rs
+++ b/reachtally-core/tests/core/forward/quarantine.rs
@@ -6,8 +6,8 @@
 use reachtally_core::forward::fingerprint::Fingerprint;
 use reachtally_core::forward::fleet::{RunMark, TargetRun};
 use reachtally_core::forward::quarantine::{
-    AccountDigest, CASE_LIFE, CASES_TOLD, ENDS_KEPT, End, MOST_CASES, MOST_CASES_OF_ACCOUNT,
-    Origin, Quarantine, RunDigest, Told, Verdict,
+    AccountDigest, ChangeOrigin, CrashRecord, MAX_CRASHES, MAX_SUSPECTS, MAX_SUSPECTS_PER_ACCOUNT,
+    Quarantine, RunDigest, SUSPECT_TTL, SUSPECTS_PER_MESSAGE, SuspectReport, Verdict,
 };
 
 const ACCOUNT: AccountDigest = AccountDigest(7);
@@ -17,26 +17,26 @@
     Instant::from_elapsed(Duration::from_secs(secs))
 }
 
-fn begun(run: u32) -> End {
-    End {
+fn begun(run: u32) -> CrashRecord {
+    CrashRecord {
         run: RunDigest(run),
         had_begun: true,
         is_acquitted: false,
     }
 }
 
-fn unknown(run: u32) -> End {
-    End {
+fn unknown(run: u32) -> CrashRecord {
+    CrashRecord {
         had_begun: false,
         ..begun(run)
     }
 }
 
 /// A table in which these ends were seen at time 0.
-fn seen(ends: &[End]) -> Quarantine {
+fn seen(ends: &[CrashRecord]) -> Quarantine {
     let mut table = Quarantine::default();
     for end in ends {
-        table.run_ended(REQUEST, ACCOUNT, *end, at(0));
+        table.record_crash(REQUEST, ACCOUNT, *end, at(0));
     }
     table
 }
@@ -48,8 +48,8 @@
 }
 
 fn exchange(from: &Quarantine, to: &mut Quarantine, now: Instant) -> bool {
-    let told = from.changes(Origin::Any, now);
-    let news: Vec<bool> = told.iter().map(|told| to.hear(told, now)).collect();
+    let told = from.changes(ChangeOrigin::Any, now);
+    let news: Vec<bool> = told.iter().map(|told| to.receive(told, now)).collect();
     news.contains(&true)
 }
 
@@ -86,12 +86,12 @@
 #[test]
 fn a_whole_answer_acquits_of_the_ends_before_it_alone() {
     let mut table = seen(&[begun(1), begun(2)]);
-    assert!(table.acquit(REQUEST, at(1)));
+    assert!(table.clear_suspicion(REQUEST, at(1)));
     assert_eq!(table.verdict(REQUEST), Verdict::Clear);
-    assert!(!table.acquit(REQUEST, at(2)));
-    table.run_ended(REQUEST, ACCOUNT, begun(3), at(3));
+    assert!(!table.clear_suspicion(REQUEST, at(2)));
+    table.record_crash(REQUEST, ACCOUNT, begun(3), at(3));
     assert_eq!(table.verdict(REQUEST), Verdict::Suspected);
-    table.run_ended(REQUEST, ACCOUNT, begun(4), at(3));
+    table.record_crash(REQUEST, ACCOUNT, begun(4), at(3));
     assert_eq!(table.verdict(REQUEST), Verdict::Quarantined);
 }
 
@@ -109,12 +109,12 @@
 #[test]
 fn what_is_told_late_takes_no_acquittal_back() {
     let mut north = seen(&[begun(1), begun(2)]);
-    let late = north.changes(Origin::Any, at(0));
+    let late = north.changes(ChangeOrigin::Any, at(0));
     let mut south = Quarantine::default();
-    south.hear(&late[0], at(0));
-    north.acquit(REQUEST, at(0));
+    south.receive(&late[0], at(0));
+    north.clear_suspicion(REQUEST, at(0));
     assert!(exchange(&north, &mut south, at(0)));
-    assert!(!south.hear(&late[0], at(0)));
+    assert!(!south.receive(&late[0], at(0)));
     assert_eq!(south.verdict(REQUEST), Verdict::Clear);
 }
 
@@ -122,26 +122,29 @@
 fn what_a_box_only_heard_is_no_change_of_its_own() {
     let mut south = Quarantine::default();
     exchange(&seen(&[begun(1)]), &mut south, at(0));
-    assert!(south.changes(Origin::Own, at(0)).is_empty());
-    assert_eq!(south.changes(Origin::Any, at(0)).len(), 1);
+    assert!(south.changes(ChangeOrigin::Own, at(0)).is_empty());
+    assert_eq!(south.changes(ChangeOrigin::Any, at(0)).len(), 1);
 }
 
 #[test]
 fn changes_are_told_for_a_moment_and_all_page_by_page() {
     let mut table = Quarantine::default();
-    for number in 0..2 * CASES_TOLD + 1 {
-        table.run_ended(request(number), ACCOUNT, begun(1), at(0));
+    for number in 0..2 * SUSPECTS_PER_MESSAGE + 1 {
+        table.record_crash(request(number), ACCOUNT, begun(1), at(0));
     }
     let after = |ms| Instant::from_elapsed(Duration::from_millis(ms));
-    assert_eq!(table.changes(Origin::Own, after(600)).len(), CASES_TOLD);
-    assert!(table.changes(Origin::Own, after(800)).is_empty());
+    assert_eq!(
+        table.changes(ChangeOrigin::Own, after(600)).len(),
+        SUSPECTS_PER_MESSAGE
+    );
+    assert!(table.changes(ChangeOrigin::Own, after(800)).is_empty());
     let mut told: Vec<Fingerprint> = (0..3)
         .flat_map(|number| table.page(number, at(3)))
         .map(|told| told.fingerprint)
         .collect();
     told.sort();
     told.dedup();
-    assert_eq!(told.len(), 2 * CASES_TOLD + 1);
+    assert_eq!(told.len(), 2 * SUSPECTS_PER_MESSAGE + 1);
     assert_eq!(table.page(3, at(3)), table.page(0, at(3)));
 }
 
@@ -149,13 +152,13 @@
 fn a_case_ends_everywhere_at_the_same_time_however_often_it_is_told() {
     let mut north = seen(&[begun(1), begun(2)]);
     let mut south = Quarantine::default();
-    let life = CASE_LIFE.as_secs();
+    let life = SUSPECT_TTL.as_secs();
     for now in [0, life / 2, life - 1] {
         for told in north.page(0, at(now)) {
-            south.hear(&told, at(now));
+            south.receive(&told, at(now));
         }
         for told in south.page(0, at(now)) {
-            north.hear(&told, at(now));
+            north.receive(&told, at(now));
         }
     }
     for mut table in [north, south] {
@@ -169,7 +172,7 @@
 #[test]
 fn what_is_refused_lately_stays() {
     let mut table = seen(&[begun(1), begun(2)]);
-    let life = CASE_LIFE.as_secs();
+    let life = SUSPECT_TTL.as_secs();
     table.refused(REQUEST, at(life - 1));
     table.remove_expired(at(life + 100));
     assert_eq!(table.verdict(REQUEST), Verdict::Quarantined);
@@ -179,9 +182,9 @@
 fn an_account_cannot_push_out_the_others() {
     let mut table = seen(&[begun(1), begun(2)]);
     let flooding = AccountDigest(8);
-    for number in 0..10 * MOST_CASES {
-        table.run_ended(request(number), flooding, begun(3), at(1));
-        assert!(table.len() <= 1 + MOST_CASES_OF_ACCOUNT);
+    for number in 0..10 * MAX_SUSPECTS {
+        table.record_crash(request(number), flooding, begun(3), at(1));
+        assert!(table.len() <= 1 + MAX_SUSPECTS_PER_ACCOUNT);
     }
     assert_eq!(table.verdict(REQUEST), Verdict::Quarantined);
 }
@@ -189,12 +192,12 @@
 #[test]
 fn a_flood_by_many_accounts_is_bounded_and_leaves_those_that_are_stopped() {
     let mut table = Quarantine::default();
-    for number in 0..10 * MOST_CASES {
+    for number in 0..10 * MAX_SUSPECTS {
         let account = AccountDigest((number % 100) as u32);
-        table.run_ended(request(number), account, begun(3), at(1));
-        assert!(table.len() <= MOST_CASES);
+        table.record_crash(request(number), account, begun(3), at(1));
+        assert!(table.len() <= MAX_SUSPECTS);
         if number == 0 {
-            table.run_ended(request(0), account, begun(4), at(1));
+            table.record_crash(request(0), account, begun(4), at(1));
         }
     }
     assert_eq!(table.verdict(request(0)), Verdict::Quarantined);
@@ -205,8 +208,8 @@
     let mut tables = [Quarantine::default(), Quarantine::default()];
     for run in 0..100 {
         let table = &mut tables[run as usize % 2];
-        table.run_ended(REQUEST, ACCOUNT, begun(run), at(0));
-        table.acquit(REQUEST, at(0));
+        table.record_crash(REQUEST, ACCOUNT, begun(run), at(0));
+        table.clear_suspicion(REQUEST, at(0));
     }
     let [mut north, mut south] = tables;
     let mut rounds = 0;
@@ -215,33 +218,33 @@
         assert!(rounds < 3);
     }
     assert_eq!(north.page(0, at(0)), south.page(0, at(0)));
-    assert_eq!(north.page(0, at(0))[0].ends.len(), ENDS_KEPT);
+    assert_eq!(north.page(0, at(0))[0].ends.len(), MAX_CRASHES);
 }
 
 #[test]
 fn a_message_without_ends_or_life_is_nothing() {
     let mut table = Quarantine::default();
-    let told = Told {
+    let told = SuspectReport {
         fingerprint: REQUEST,
         account: ACCOUNT,
-        life: CASE_LIFE,
+        life: SUSPECT_TTL,
         ends: Vec::new(),
     };
-    assert!(!table.hear(&told, at(0)));
-    let over = Told {
+    assert!(!table.receive(&told, at(0)));
+    let over = SuspectReport {
         life: Duration::ZERO,
         ends: vec![begun(1)],
         ..told.clone()
     };
-    assert!(!table.hear(&over, at(0)));
+    assert!(!table.receive(&over, at(0)));
     assert!(table.is_empty());
     // A life beyond reason is cut.
-    let long = Told {
+    let long = SuspectReport {
         life: Duration::MAX,
         ..over
     };
-    table.hear(&long, at(0));
-    table.remove_expired(at(CASE_LIFE.as_secs()));
+    table.receive(&long, at(0));
+    table.remove_expired(at(SUSPECT_TTL.as_secs()));
     assert!(table.is_empty());
 }
 
--- a/reachtally-core/tests/core/forward/read_ahead.rs
+++ b/reachtally-core/tests/core/forward/read_ahead.rs
@@ -3,17 +3,18 @@
 use std::time::Duration;
 
 use reachtally_core::forward::read_ahead::{
-    ENGINE_PATIENCE, Held, HeldUp, STREAM_BYTES, all_bytes, may_read,
+    BufferedBytes, ENGINE_STALL_TOLERANCE, EngineStall, MAX_STREAM_BYTES, max_buffered_bytes,
+    may_read,
 };
 
 /// One caller that does not read would take all of the memory.
 #[test]
 fn reading_stops_at_the_bound_of_the_stream_and_of_the_box() {
-    let most = all_bytes(8 * 1024 * 1024);
+    let most = max_buffered_bytes(8 * 1024 * 1024);
     assert_eq!(most, 1024 * 1024);
-    let held = |stream, all| may_read(Held { stream, all }, most);
-    assert!(held(STREAM_BYTES - 1, STREAM_BYTES - 1));
-    assert!(!held(STREAM_BYTES, STREAM_BYTES));
+    let held = |stream, all| may_read(BufferedBytes { stream, all }, most);
+    assert!(held(MAX_STREAM_BYTES - 1, MAX_STREAM_BYTES - 1));
+    assert!(!held(MAX_STREAM_BYTES, MAX_STREAM_BYTES));
     assert!(held(1, most - 1));
     assert!(!held(1, most));
 }
@@ -21,7 +22,7 @@
 /// Slow callers would hold up the others.
 #[test]
 fn a_stream_whose_caller_has_taken_everything_goes_on() {
-    let held = Held {
+    let held = BufferedBytes {
         stream: 0,
         all: usize::MAX,
     };
@@ -32,16 +33,16 @@
 #[test]
 fn an_engine_was_unread_only_after_a_long_pause_that_was_not_caught_up() {
     let ms = Duration::from_millis;
-    let mut held_up = HeldUp::default();
+    let mut held_up = EngineStall::default();
     assert!(!held_up.paused(ms(1)));
     assert!(!held_up.is_behind());
     // A slow caller holds the engine up all the time, but never for long.
     for _ in 0..10 {
-        assert!(held_up.paused(ENGINE_PATIENCE / 2));
+        assert!(held_up.paused(ENGINE_STALL_TOLERANCE / 2));
     }
     assert!(held_up.is_behind());
     assert!(!held_up.is_unread());
-    held_up.paused(ENGINE_PATIENCE);
+    held_up.paused(ENGINE_STALL_TOLERANCE);
     // Data that piled up comes with short waits only.
     held_up.waited(ms(20));
     held_up.paused(ms(50));
--- a/reachtally-core/tests/core/forward/routes.rs
+++ b/reachtally-core/tests/core/forward/routes.rs
@@ -2,13 +2,15 @@
 
 use std::time::Duration;
 
-use reachtally_core::forward::routes::{Account, Denied, Repeat, Route, Shape, Table, Urgency};
+use reachtally_core::forward::routes::{
+    Account, Denied, RepeatPolicy, ResponseShape, Route, Table, Urgency,
+};
 
 fn route(name: &str, public: bool) -> Route {
     Route {
         name: name.into(),
-        repeat: Repeat::Idempotent,
-        shape: Shape::Whole,
+        repeat: RepeatPolicy::Idempotent,
+        shape: ResponseShape::Whole,
         timeout: Duration::from_secs(1),
         objective: Duration::from_millis(300),
         priority: 1,
--- a/reachtally-core/tests/core/forward/select.rs
+++ b/reachtally-core/tests/core/forward/select.rs
@@ -5,7 +5,7 @@
 
 use reachtally_core::Instant;
 use reachtally_core::forward::cost::LayerModel;
-use reachtally_core::forward::fleet::{EngineKey, Entry, Evidence, Fleet};
+use reachtally_core::forward::fleet::{EngineKey, Entry, EntrySource, Fleet};
 use reachtally_core::forward::select::{Aim, Choice, Circumstance, Need, Shortage, path, shortage};
 
 use super::setup::{AIM, NEED, SERVICE, cx, entry, fleet, instance, model};
@@ -109,7 +109,7 @@
     let (mut fleet, home) = many_chains();
     for key in &home {
         let engine = fleet.get_mut(*key).expect("it is known");
-        engine.told_pace(12.0, cx(&[]).now);
+        engine.record_slowdown(12.0, cx(&[]).now);
     }
     let abroad = share_abroad(&fleet, &home);
     assert!(abroad > 900, "{abroad}");
@@ -147,7 +147,7 @@
     let (mut fleet, keys) = two_beginnings();
     let expected = |fleet: &Fleet| choose(fleet, &keys[1..2]).expect("there is a path").first;
     let (idle, even) = (expected(&fleet), share(&fleet, keys[0]));
-    fleet.get_mut(keys[0]).expect("it is known").remote_reading = 200_000.0;
+    fleet.get_mut(keys[0]).expect("it is known").remote_prefill = 200_000.0;
     assert!(expected(&fleet) > idle + Duration::from_millis(200));
     let fewer = share(&fleet, keys[0]);
     assert!(fewer < even / 2, "{fewer} of {even}");
@@ -191,7 +191,7 @@
             draining: true,
             ..fleet.get(key).expect("it is known").entry.clone()
         };
-        fleet.upsert(leaving, Evidence::Written, Instant::ZERO);
+        fleet.upsert(leaving, EntrySource::Written, Instant::ZERO);
     }
     assert!(choose(&fleet, &[]).is_none());
 }
@@ -204,7 +204,7 @@
             .get_mut(key)
             .expect("it is known")
             .health
-            .found_dead(Instant::ZERO);
+            .mark_dead(Instant::ZERO);
     }
     assert!(choose(&fleet, &[]).is_none());
     let back = Instant::from_elapsed(Duration::from_millis(100));
@@ -212,7 +212,7 @@
         .get_mut(keys[2])
         .expect("it is known")
         .health
-        .found_alive(back);
+        .mark_alive(back);
     assert_eq!(
         choose(&fleet, &[]).expect("a is whole").path.engines(),
         &keys[0..4]
@@ -222,7 +222,7 @@
 #[test]
 fn engines_held_off_are_the_last_choice() {
     let (mut fleet, keys) = two_domains();
-    fleet.failed(keys[2], Instant::from_elapsed(Duration::from_millis(900)));
+    fleet.record_failure(keys[2], Instant::from_elapsed(Duration::from_millis(900)));
     assert_eq!(
         choose(&fleet, &[]).expect("b is whole").path.engines(),
         &keys[7..]
@@ -310,7 +310,10 @@
     };
     let (mut fleet, keys) = fleet([plain(0), plain(1), plain(2)]);
     fleet.begin(&keys[0..1], 0.0);
-    fleet.get_mut(keys[1]).expect("it is known").others_told = 3.0;
+    fleet
+        .get_mut(keys[1])
+        .expect("it is known")
+        .reported_remote_running = 3.0;
     assert_eq!(instance(&fleet, SERVICE, 10, &cx(&[])), Some(keys[2]));
     assert_eq!(
         instance(&fleet, SERVICE, 10, &cx(&keys[2..])),
@@ -387,7 +390,7 @@
     assert_eq!(told(&fleet), full);
     let now = Instant::from_elapsed(Duration::from_secs(1));
     let row = fleet.get_mut(keys[9]).expect("it is known");
-    row.health.found_dead(now);
+    row.health.mark_dead(now);
     assert_eq!(
         told(&fleet),
         Shortage {
@@ -434,13 +437,13 @@
     let (mut fleet, keys) = two_beginnings();
     let engine = fleet.get_mut(keys[0]).expect("it is known");
     engine.remote_running = 100_000.0;
-    engine.told_pace(f64::INFINITY, Instant::from_elapsed(Duration::from_secs(1)));
-    engine.told_pace(f64::NAN, Instant::from_elapsed(Duration::from_secs(1)));
+    engine.record_slowdown(f64::INFINITY, Instant::from_elapsed(Duration::from_secs(1)));
+    engine.record_slowdown(f64::NAN, Instant::from_elapsed(Duration::from_secs(1)));
     assert_eq!(share(&fleet, keys[0]), 0);
     // A later stage may run more requests than a first one has places.
     let engine = fleet.get_mut(keys[2]).expect("it is known");
     engine.remote_running = 100_000.0;
-    engine.remote_reading = 1e8;
+    engine.remote_prefill = 1e8;
     assert!(choose(&fleet, &[]).is_some());
     for empty in [
         LayerModel::default(),
@@ -519,7 +522,7 @@
     let (mut fleet, keys) = loaded_chain(60.0);
     let without = expected_first_ms(&fleet);
     let first = fleet.get_mut(keys[0]).expect("it is known");
-    first.queues.state(20, cx(&[]).now);
+    first.queues.record(20, cx(&[]).now);
     // 40 run for 3 s each, so 20 of them end in 1.5 s.
     let with = expected_first_ms(&fleet);
     assert!((1_400.0..1_600.0).contains(&(with - without)), "{with}");
@@ -530,7 +533,7 @@
     let (mut fleet, keys) = loaded_chain(60.0);
     let without = expected_first_ms(&fleet);
     let first = fleet.get_mut(keys[0]).expect("it is known");
-    first.queues.state(20, Instant::ZERO);
+    first.queues.record(20, Instant::ZERO);
     assert_eq!(expected_first_ms(&fleet), without);
 }
 
--- a/reachtally-core/tests/core/forward/setup.rs
+++ b/reachtally-core/tests/core/forward/setup.rs
@@ -5,7 +5,7 @@
 
 use reachtally_core::Instant;
 use reachtally_core::forward::cost::{Card, LayerModel, Layers};
-use reachtally_core::forward::fleet::{Born, EngineKey, Entry, Evidence, Fleet};
+use reachtally_core::forward::fleet::{EngineKey, Entry, EntrySource, Fleet, StartTime};
 use reachtally_core::forward::placement::Host;
 use reachtally_core::forward::select::{self, Aim, Circumstance, Limits, Need};
 
@@ -86,7 +86,7 @@
 /// The entry of a run of the engine `e0` that started at `born`.
 pub fn run_entry(born: u64) -> Entry {
     Entry {
-        born: Some(Born(born)),
+        born: Some(StartTime(born)),
         ..entry(0, "north", "small", 0..8)
     }
 }
@@ -101,7 +101,7 @@
         for _ in 0..*count {
             let (engine, _) = fleet.upsert(
                 entry(number, domain, card, 0..0),
-                Evidence::Written,
+                EntrySource::Written,
                 Instant::ZERO,
             );
             hosts.push(Host {
@@ -123,7 +123,7 @@
     let mut fleet = Fleet::default();
     let keys = entries
         .into_iter()
-        .map(|entry| fleet.upsert(entry, Evidence::Written, Instant::ZERO).0)
+        .map(|entry| fleet.upsert(entry, EntrySource::Written, Instant::ZERO).0)
         .collect();
     (fleet, keys)
 }
--- a/reachtally-core/tests/core/forward/shares/mod.rs
+++ b/reachtally-core/tests/core/forward/shares/mod.rs
@@ -56,7 +56,7 @@
 fn shared(each: &[f64], admitted: f64) -> ServiceShare {
     let mut aggregator = Aggregator::default();
     aggregator.update(rates(1, 1, each, admitted), ip(1), at(0));
-    aggregator.sum_up(at(0));
+    aggregator.update_totals(at(0));
     aggregator.shares()[0].clone()
 }
 
@@ -126,7 +126,7 @@
     in_sum.services[0].count = 104;
     let mut aggregator = Aggregator::default();
     aggregator.update(in_sum, ip(1), at(0));
-    aggregator.sum_up(at(0));
+    aggregator.update_totals(at(0));
     assert_eq!(aggregator.shares()[0].accounts, []);
 }
 
@@ -143,7 +143,7 @@
     aggregator.update(rates(1, 7, &[10.0, 90.0], 50.0), ip(1), at(0));
     assert!(!aggregator.update(rates(1, 6, &[500.0, 90.0], 50.0), ip(1), at(10)));
     aggregator.update(rates(2, 1, &[10.0, 90.0], 50.0), ip(1), at(20));
-    aggregator.sum_up(at(20));
+    aggregator.update_totals(at(20));
     assert_eq!(aggregator.own_rates()[0].offered.per_second(), 100.0);
     aggregator.leave(Incarnation(2));
     aggregator.sum_up_now(at(30));
@@ -207,7 +207,7 @@
             20.0
         };
         aggregator.update(rates(1, number, &[20.0, 20.0, flood], 60.0), ip(1), now);
-        crossings.extend(aggregator.sum_up(now));
+        crossings.extend(aggregator.update_totals(now));
     }
     let beyond = |crossing| matches!(crossing, Crossing::Beyond { .. });
     let told = crossings
--- a/reachtally-core/tests/core/forward/shares/play.rs
+++ b/reachtally-core/tests/core/forward/shares/play.rs
@@ -81,7 +81,7 @@
             self.arrive();
             if self.now.is_multiple_of(SUM_MS) {
                 for collector in &mut self.collectors {
-                    collector.sum_up(at(self.now));
+                    collector.update_totals(at(self.now));
                 }
             }
             if self.now.is_multiple_of(REPORT_MS) {
--- a/reachtally-core/tests/core/forward/stewardship.rs
+++ b/reachtally-core/tests/core/forward/stewardship.rs
@@ -4,11 +4,11 @@
 
 use reachtally_core::Instant;
 use reachtally_core::forward::era::{Era, Generation};
-use reachtally_core::forward::stewardship::{Stewardship, Token};
+use reachtally_core::forward::stewardship::{FencingToken, Stewardship};
 
-fn token(number: u64) -> Token {
+fn token(number: u64) -> FencingToken {
     let era = Era(1);
-    Token(Generation { era, number })
+    FencingToken(Generation { era, number })
 }
 
 fn at(seconds: u64) -> Instant {
--- a/reachtally-protocol/src/news.rs
+++ b/reachtally-protocol/src/news.rs
@@ -6,7 +6,7 @@
 use prost::Message as _;
 use reachtally_core::forward::changes::Cursor;
 use reachtally_core::forward::era::{Era, Generation, Position};
-use reachtally_core::forward::fleet::{Born, Entry};
+use reachtally_core::forward::fleet::{Entry, StartTime};
 use reachtally_core::forward::peers::Member;
 use reachtally_core::ids::Incarnation;
 
@@ -242,7 +242,7 @@
     let address = target.address.parse();
     Ok(Entry {
         id: target.id.into(),
-        born: (target.born > 0).then_some(Born(target.born)),
+        born: (target.born > 0).then_some(StartTime(target.born)),
         service: target.service.into(),
         address: address.map_err(|_| Error::Missing("address"))?,
         domain: target.domain.into(),
--- a/reachtally-protocol/src/suspects.rs
+++ b/reachtally-protocol/src/suspects.rs
@@ -6,7 +6,7 @@
 use bytes::Bytes;
 use prost::Message as _;
 use reachtally_core::forward::fingerprint::Fingerprint;
-use reachtally_core::forward::quarantine::{AccountDigest, End, RunDigest, Told};
+use reachtally_core::forward::quarantine::{AccountDigest, CrashRecord, RunDigest, SuspectReport};
 
 use crate::generated::relay;
 
@@ -29,7 +29,7 @@
 }
 
 /// Encodes a suspect request to be persisted until `expires`, as time since the Unix epoch.
-pub fn encode_kept(suspect: &Told, expires: Duration) -> Bytes {
+pub fn encode_kept(suspect: &SuspectReport, expires: Duration) -> Bytes {
     let stored = relay::KeptSuspect {
         suspect: Some(suspect_to_wire(suspect)),
         expires_s: expires.as_secs(),
@@ -42,29 +42,29 @@
 ///
 /// # Errors
 /// [`SuspectError`] if the bytes are malformed or the fingerprint has the wrong length.
-pub fn decode_kept(bytes: &[u8], now: Duration) -> Result<Told, SuspectError> {
+pub fn decode_kept(bytes: &[u8], now: Duration) -> Result<SuspectReport, SuspectError> {
     let stored = relay::KeptSuspect::decode(bytes).map_err(SuspectError::Malformed)?;
     let suspect = suspect_from_wire(stored.suspect.unwrap_or_default())?;
     let expires = Duration::from_secs(stored.expires_s);
-    Ok(Told {
+    Ok(SuspectReport {
         life: expires.saturating_sub(now),
         ..suspect
     })
 }
 
-pub(crate) fn to_wire(suspects: &[Told]) -> relay::Suspects {
+pub(crate) fn to_wire(suspects: &[SuspectReport]) -> relay::Suspects {
     relay::Suspects {
         suspects: suspects.iter().map(suspect_to_wire).collect(),
     }
 }
 
-pub(crate) fn from_wire(message: relay::Suspects) -> Result<Vec<Told>, SuspectError> {
+pub(crate) fn from_wire(message: relay::Suspects) -> Result<Vec<SuspectReport>, SuspectError> {
     let each = message.suspects.into_iter();
     each.map(suspect_from_wire).collect()
 }
 
-fn suspect_to_wire(suspect: &Told) -> relay::Suspect {
-    let end = |end: &End| relay::RunEnd {
+fn suspect_to_wire(suspect: &SuspectReport) -> relay::Suspect {
+    let end = |end: &CrashRecord| relay::RunEnd {
         run: end.run.0,
         had_begun: end.had_begun,
         is_acquitted: end.is_acquitted,
@@ -77,15 +77,15 @@
     }
 }
 
-fn suspect_from_wire(suspect: relay::Suspect) -> Result<Told, SuspectError> {
-    let end = |end: relay::RunEnd| End {
+fn suspect_from_wire(suspect: relay::Suspect) -> Result<SuspectReport, SuspectError> {
+    let end = |end: relay::RunEnd| CrashRecord {
         run: RunDigest(end.run),
         had_begun: end.had_begun,
         is_acquitted: end.is_acquitted,
     };
     let bytes = suspect.fingerprint.as_ref().try_into();
     let bytes = bytes.map_err(|_| SuspectError::Fingerprint(suspect.fingerprint.len()))?;
-    Ok(Told {
+    Ok(SuspectReport {
         fingerprint: Fingerprint(bytes),
         account: AccountDigest(suspect.account),
         life: Duration::from_secs(u64::from(suspect.life_s)),
--- a/reachtally-protocol/tests/protocol/relay.rs
+++ b/reachtally-protocol/tests/protocol/relay.rs
@@ -10,12 +10,13 @@
 use reachtally_core::forward::fingerprint::{FINGERPRINT_BYTES, Fingerprint};
 use reachtally_core::forward::fleet::{Entry, RunMark, TargetRun};
 use reachtally_core::forward::loads::{
-    Assembler, Load, MARKED_TARGETS_TOLD, Message, Others, Part, QueueReport, Report, ReportPage,
-    TARGETS_TOLD, TargetLoad,
+    Load, MARKED_TARGETS_PER_MESSAGE, Message, Others, Part, QueueReport, Report, ReportAssembler,
+    ReportPage, TARGETS_PER_MESSAGE, TargetLoad,
 };
 use reachtally_core::forward::peers::Member;
 use reachtally_core::forward::quarantine::{
-    AccountDigest, CASE_LIFE, CASES_TOLD, ENDS_KEPT, End, RunDigest, Told,
+    AccountDigest, CrashRecord, MAX_CRASHES, RunDigest, SUSPECT_TTL, SUSPECTS_PER_MESSAGE,
+    SuspectReport,
 };
 use reachtally_core::ids::Incarnation;
 use reachtally_protocol::news::{Ask, News, TargetPage};
@@ -227,8 +228,11 @@
         mark: RunMark::default(),
         ..marked(number)
     };
-    let marked: Vec<TargetLoad> = (0..MARKED_TARGETS_TOLD).map(marked).map(load).collect();
-    let unmarked: Vec<TargetLoad> = (0..TARGETS_TOLD).map(unmarked).map(load).collect();
+    let marked: Vec<TargetLoad> = (0..MARKED_TARGETS_PER_MESSAGE)
+        .map(marked)
+        .map(load)
+        .collect();
+    let unmarked: Vec<TargetLoad> = (0..TARGETS_PER_MESSAGE).map(unmarked).map(load).collect();
     for loads in [marked, unmarked] {
         // In the size of two years there are thirteen failure domains.
         let others = Message::Others(Others {
@@ -249,7 +253,7 @@
         number: u64::MAX,
         loads: sent.clone(),
     };
-    let mut assembler = Assembler::default();
+    let mut assembler = ReportAssembler::default();
     let mut received = None;
     for page in load::pages(&report) {
         let bytes = load::encode(&Message::Report(page));
@@ -304,26 +308,26 @@
     let Ok(Message::Report(page)) = decoded else {
         panic!("it is a page of a report");
     };
-    assert!(Assembler::default().add(page).is_some());
+    assert!(ReportAssembler::default().add(page).is_some());
 }
 
-fn suspect(number: u8) -> Told {
-    let end = |run: usize| End {
+fn suspect(number: u8) -> SuspectReport {
+    let end = |run: usize| CrashRecord {
         run: RunDigest(u32::MAX - run as u32),
         had_begun: true,
         is_acquitted: run.is_multiple_of(2),
     };
-    Told {
+    SuspectReport {
         fingerprint: Fingerprint([number; FINGERPRINT_BYTES]),
         account: AccountDigest(u32::MAX),
-        life: CASE_LIFE,
-        ends: (0..ENDS_KEPT).map(end).collect(),
+        life: SUSPECT_TTL,
+        ends: (0..MAX_CRASHES).map(end).collect(),
     }
 }
 
 #[test]
 fn as_many_suspects_as_are_told_at_once_fit_one_datagram() {
-    let told: Vec<Told> = (0..CASES_TOLD as u8).map(suspect).collect();
+    let told: Vec<SuspectReport> = (0..SUSPECTS_PER_MESSAGE as u8).map(suspect).collect();
     let bytes = load::encode(&Message::Suspects(told.clone()));
     assert!(bytes.len() <= load::MESSAGE_MAX, "{}", bytes.len());
     assert_eq!(load::decode(&bytes), Ok(Message::Suspects(told)));
@@ -335,7 +339,7 @@
     let secs = Duration::from_secs;
     let kept = suspects::encode_kept(&told, secs(1_000));
     let read = |now| suspects::decode_kept(&kept, secs(now)).expect("it decodes");
-    let left = |life| Told {
+    let left = |life| SuspectReport {
         life: secs(life),
         ..told.clone()
     };
--- a/reachtally-relay/src/admission.rs
+++ b/reachtally-relay/src/admission.rs
@@ -345,7 +345,7 @@
         for engine in targets.filter(|engine| engine.is_entry_point()) {
             let own = f64::from(engine.running);
             running.own += own;
-            running.all += own + engine.remote_running.max(engine.others_told_lately(now));
+            running.all += own + engine.remote_running.max(engine.recent_remote_running(now));
         }
         running
     }
--- a/reachtally-relay/src/configuration.rs
+++ b/reachtally-relay/src/configuration.rs
@@ -69,6 +69,6 @@
 
     /// Returns whether the configuration was confirmed recently enough to authorize requests by key.
     pub fn is_fresh(&self, now: Instant, within: Option<Duration>) -> bool {
-        within.is_none_or(|within| self.freshness.get().holds(now, within))
+        within.is_none_or(|within| self.freshness.get().is_fresh(now, within))
     }
 }
--- a/reachtally-relay/src/eras.rs
+++ b/reachtally-relay/src/eras.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use reachtally_core::Instant;
-use reachtally_core::forward::era::{CONFIGURED_WITHIN, Era, Outdated, Position};
+use reachtally_core::forward::era::{CONFIG_REWRITE_TIME, Era, Outdated, Position};
 
 use crate::relay::Relay;
 use crate::store::{Feed, StoreError};
@@ -16,7 +16,7 @@
     pub(crate) fn era_of(&self, named: Option<Era>, began: Instant) -> Result<Era, StoreError> {
         let before = self.eras.get();
         let mut eras = before;
-        let era = eras.of_answer(named, began, self.now());
+        let era = eras.era_of_answer(named, began, self.now());
         self.eras.set(eras);
         if before.held() != eras.held() {
             log::warn!(event = "store-era", era = eras.held().0, before = before.held().0, named:? = named.map(|era| era.0); "the era of the store changed; reading again all data that is tracked by offset");
@@ -47,8 +47,8 @@
     pub(crate) fn hear_era(&self, reported: Era, age: Option<Duration>) {
         let mut eras = self.eras.get();
         let is_changed = match age {
-            Some(age) => eras.hear_of_return(reported, self.now().before(age)),
-            None => eras.hear(reported, Some(self.now())),
+            Some(age) => eras.receive_rollback(reported, self.now().before(age)),
+            None => eras.update(reported, Some(self.now())),
         };
         self.eras.set(eras);
         if is_changed {
@@ -67,6 +67,6 @@
     pub(crate) fn may_lack_configuration(&self) -> bool {
         let eras = self.eras.get();
         let is_written = self.configured_in.get() == Some(eras.held());
-        !is_written && eras.is_back_since(CONFIGURED_WITHIN, self.now())
+        !is_written && eras.was_rolled_back_within(CONFIG_REWRITE_TIME, self.now())
     }
 }
--- a/reachtally-relay/src/exchange.rs
+++ b/reachtally-relay/src/exchange.rs
@@ -91,9 +91,9 @@
     let mut fleet = relay.fleet.borrow_mut();
     if let (Some(load), Some(engine)) = (head.load, fleet.get_mut(from.key)) {
         let others = (load.running + load.waiting).saturating_sub(engine.running);
-        engine.others_told = f64::from(others);
-        engine.queues.state(load.waiting, now);
-        engine.others_told_at = now;
+        engine.reported_remote_running = f64::from(others);
+        engine.queues.record(load.waiting, now);
+        engine.reported_remote_at = now;
     }
     drop(fleet);
     relay.target_said(&from.run, head.said);
--- a/reachtally-relay/src/follow/suspects.rs
+++ b/reachtally-relay/src/follow/suspects.rs
@@ -5,7 +5,7 @@
 
 use std::rc::Rc;
 
-use reachtally_core::forward::quarantine::Told;
+use reachtally_core::forward::quarantine::SuspectReport;
 
 use super::dependency::Dependency;
 use super::pause::Backoff;
@@ -30,7 +30,7 @@
     }
     loop {
         let stored = read_stored(relay, store).await;
-        let (expired, stored): (Vec<Told>, Vec<Told>) = stored
+        let (expired, stored): (Vec<SuspectReport>, Vec<SuspectReport>) = stored
             .into_iter()
             .partition(|suspect| suspect.life.is_zero());
         relay.take_over_suspects(&stored);
@@ -41,7 +41,7 @@
 }
 
 /// Reads the stored requests, with retries until the store answers.
-async fn read_stored<S: Store>(relay: &Relay, store: &S) -> Vec<Told> {
+async fn read_stored<S: Store>(relay: &Relay, store: &S) -> Vec<SuspectReport> {
     let mut backoff = Backoff::new();
     let mut dependency = Dependency::new("suspects");
     loop {
@@ -57,7 +57,7 @@
 }
 
 /// Removes expired requests from the store.
-async fn remove_from_store<S: Store>(store: &S, expired: &[Told]) {
+async fn remove_from_store<S: Store>(store: &S, expired: &[SuspectReport]) {
     let removals = expired.iter().take(MAX_REMOVED);
     let removals: Vec<SuspectChange> = removals
         .map(|suspect| SuspectChange::Drop(suspect.fingerprint))
--- a/reachtally-relay/src/follow/targets.rs
+++ b/reachtally-relay/src/follow/targets.rs
@@ -4,8 +4,8 @@
 use std::time::Duration;
 
 use reachtally_core::Instant;
-use reachtally_core::forward::era::{Position, REWRITTEN_WITHIN};
-use reachtally_core::forward::fleet::Evidence;
+use reachtally_core::forward::era::{ENTRY_REWRITE_TIME, Position};
+use reachtally_core::forward::fleet::EntrySource;
 use tokio::time::sleep;
 
 use super::dependency::Dependency;
@@ -92,7 +92,7 @@
     /// Whether a missing entry may have been lost by the store, because of a current or recent outage.
     fn may_be_lost(&self, relay: &Relay, now: Instant) -> bool {
         let is_recent = |at: Instant| now.since(at) < RESTORE_WINDOW;
-        let was_restored = relay.eras.get().is_back_since(RESTORE_WINDOW, now);
+        let was_restored = relay.eras.get().was_rolled_back_within(RESTORE_WINDOW, now);
         self.dependency.is_lost() || self.recovered_at.is_some_and(is_recent) || was_restored
     }
 
@@ -104,7 +104,7 @@
                 if applied != Applied::Merged {
                     return NextRead::AfterInterval;
                 }
-                self.recheck_at = Some(now + REWRITTEN_WITHIN);
+                self.recheck_at = Some(now + ENTRY_REWRITE_TIME);
                 NextRead::Immediately
             }
             // The backoff restarts at its initial delay, as in the configuration loop.
@@ -163,7 +163,7 @@
     let mut malformed = Vec::new();
     for item in feed.items {
         match item {
-            TargetChange::Wrote(entry) if relay.fleet.borrow().is_gone(&entry.run()) => {}
+            TargetChange::Wrote(entry) if relay.fleet.borrow().was_removed(&entry.run()) => {}
             TargetChange::Wrote(entry) => entries.push(entry),
             TargetChange::Spoiled(entry) => {
                 relay.remove_target(&entry.id);
@@ -206,7 +206,7 @@
     let mut malformed = Vec::new();
     for change in feed.items {
         match change {
-            TargetChange::Wrote(entry) => written.push((entry, Evidence::Written)),
+            TargetChange::Wrote(entry) => written.push((entry, EntrySource::Written)),
             TargetChange::Gone(id) => {
                 relay.update_targets(std::mem::take(&mut written));
                 relay.target_gone(&id, may_be_lost);
--- a/reachtally-relay/src/gossip/limits.rs
+++ b/reachtally-relay/src/gossip/limits.rs
@@ -5,7 +5,7 @@
 
 use reachtally_core::Instant;
 use reachtally_core::forward::limit::{
-    self, DemandPart, Extent, Grants, LimitReport, LimitedTarget, PermitRequest,
+    self, DemandPart, Grants, LimitReport, LimitedTarget, PermitRequest, SharingScope,
 };
 use reachtally_core::forward::loads::Message;
 use reachtally_core::forward::peers::domains;
@@ -107,7 +107,7 @@
         if demands.is_empty() {
             return;
         }
-        limit::note_held(&mut demands, &self.relay.fleet.borrow(), now);
+        limit::set_held_permits(&mut demands, &self.relay.fleet.borrow(), now);
         self.permit_requests.number += 1;
         self.permit_requests.sent_at = Some(now);
         let req = PermitRequest {
@@ -148,19 +148,19 @@
     pub(super) fn refill(&mut self) {
         let now = self.relay.now();
         let limited = self.limited_targets();
-        let extent = self.extent();
-        self.allocator.refill(&limited, extent, now);
+        let scope = self.scope();
+        self.allocator.refill(&limited, scope, now);
     }
 
     /// Returns how many collectors share the limits. A box outside the group does not know how many other boxes collect only for
     /// themselves.
-    fn extent(&self) -> Extent {
+    fn scope(&self) -> SharingScope {
         let members = domains(&self.relay.members.borrow()).len();
         let settings = self.relay.settings.borrow().domains;
         let own = f64::from(self.collector.reporters()) / f64::from(self.relay.boxes().max(1));
-        Extent {
+        SharingScope {
             domains: members.max(settings).max(1),
-            largest_part: if self.is_collector() {
+            max_share: if self.is_collector() {
                 1.0
             } else {
                 own.min(1.0)
--- a/reachtally-relay/src/gossip/mod.rs
+++ b/reachtally-relay/src/gossip/mod.rs
@@ -144,7 +144,7 @@
         self.choose_collector(now);
         let report = loads::own_report(self.run, self.number, &self.relay.fleet.borrow(), now);
         match self.destination {
-            Destination::Local => self.collector.hear(report, self.ip(), now),
+            Destination::Local => self.collector.receive(report, self.ip(), now),
             Destination::Box(ip) => {
                 self.unanswered += 1;
                 for page in load::pages(&report) {
@@ -158,7 +158,7 @@
         self.report_rates();
         self.send_totals();
         if self.destination == Destination::Local && self.is_collector() {
-            self.update_remote_loads(self.collector.all_but(self.run), now);
+            self.update_remote_loads(self.collector.all_except(self.run), now);
         }
         let mut remote_loads = self.relay.remote_loads.borrow_mut();
         remote_loads.remove_expired(&mut self.relay.fleet.borrow_mut(), now);
@@ -186,7 +186,7 @@
 
     fn update_totals(&mut self) {
         let now = self.relay.now();
-        self.collector.sum_up(now);
+        self.collector.update_totals(now);
         self.refill();
         self.compute_shares();
     }
@@ -257,7 +257,7 @@
 
     /// Returns the boxes to which a collector forwards a change received from `from`.
     fn collector_recipients(&self, from: Option<IpAddr>) -> BTreeSet<IpAddr> {
-        let reporters = self.collector.reporters_ips();
+        let reporters = self.collector.reporter_ips();
         let all = reporters.chain(self.collectors_to_inform());
         all.filter(|ip| Some(*ip) != from && *ip != self.ip())
             .collect()
@@ -293,7 +293,7 @@
         match load::decode(bytes) {
             Ok(Message::Report(page)) => {
                 let (run, number, is_first) = (page.run, page.number, page.index == 0);
-                self.collector.hear_page(page, from, now);
+                self.collector.receive_page(page, from, now);
                 if !is_first {
                     return;
                 }
@@ -304,7 +304,7 @@
                 self.answer_limits(from, number);
                 self.answer_shares(from, number);
             }
-            Ok(Message::Part(part)) => self.collector.hear_part(part, from, now),
+            Ok(Message::Part(part)) => self.collector.receive_part(part, from, now),
             Ok(Message::Leave(run)) => {
                 self.collector.leave(run);
                 self.allocator.leave(run);
@@ -346,7 +346,7 @@
     /// Updates the loads of all other boxes.
     fn update_remote_loads(&self, others: Others, now: Instant) {
         let mut remote_loads = self.relay.remote_loads.borrow_mut();
-        remote_loads.hear(others, &mut self.relay.fleet.borrow_mut(), now);
+        remote_loads.receive(others, &mut self.relay.fleet.borrow_mut(), now);
         self.relay.admission.loads_received(now);
     }
 
--- a/reachtally-relay/src/gossip/shares.rs
+++ b/reachtally-relay/src/gossip/shares.rs
@@ -90,7 +90,7 @@
 
     /// Recomputes the shares if they are outdated.
     pub(super) fn compute_shares(&mut self) {
-        let changes = self.shares.aggregator.sum_up(self.relay.now());
+        let changes = self.shares.aggregator.update_totals(self.relay.now());
         self.relay.log_crossings(&changes);
     }
 
--- a/reachtally-relay/src/gossip/suspects.rs
+++ b/reachtally-relay/src/gossip/suspects.rs
@@ -3,7 +3,7 @@
 use std::net::IpAddr;
 
 use reachtally_core::forward::loads::Message;
-use reachtally_core::forward::quarantine::{Origin, Told};
+use reachtally_core::forward::quarantine::{ChangeOrigin, SuspectReport};
 
 use super::{Destination, FULL_PAGE_REPORTS, Gossip, is_full_page_due};
 
@@ -14,9 +14,11 @@
         let now = self.relay.now();
         self.relay.suspicion.remove_expired(now);
         match self.destination {
-            Destination::Box(ip) => self.send_suspects(ip, self.pending(Origin::Own, self.number)),
+            Destination::Box(ip) => {
+                self.send_suspects(ip, self.pending(ChangeOrigin::Own, self.number))
+            }
             Destination::Local => {
-                let suspects = self.pending(Origin::Any, self.number);
+                let suspects = self.pending(ChangeOrigin::Any, self.number);
                 for ip in self.collectors_to_inform() {
                     self.send_suspects(ip, suspects.clone());
                 }
@@ -26,11 +28,11 @@
 
     /// Sends suspect requests in answer to report `number` of another box.
     pub(super) fn answer_suspects(&self, to: IpAddr, number: u64) {
-        self.send_suspects(to, self.pending(Origin::Any, number));
+        self.send_suspects(to, self.pending(ChangeOrigin::Any, number));
     }
 
     /// Returns the entries to send with report `number`: recent changes or, periodically, a page of all entries.
-    fn pending(&self, origin: Origin, number: u64) -> Vec<Told> {
+    fn pending(&self, origin: ChangeOrigin, number: u64) -> Vec<SuspectReport> {
         let now = self.relay.now();
         let suspicion = &self.relay.suspicion;
         let changes = suspicion.changes(origin, now);
@@ -48,15 +50,15 @@
         if let Destination::Box(ip) = self.destination
             && Some(ip) != from
         {
-            self.send_suspects(ip, changes(Origin::Own));
+            self.send_suspects(ip, changes(ChangeOrigin::Own));
         }
-        let suspects = changes(Origin::Any);
+        let suspects = changes(ChangeOrigin::Any);
         for ip in self.collector_recipients(from) {
             self.send_suspects(ip, suspects.clone());
         }
     }
 
-    fn send_suspects(&self, ip: IpAddr, suspects: Vec<Told>) {
+    fn send_suspects(&self, ip: IpAddr, suspects: Vec<SuspectReport>) {
         if !suspects.is_empty() {
             self.send(ip, &Message::Suspects(suspects));
         }
--- a/reachtally-relay/src/group.rs
+++ b/reachtally-relay/src/group.rs
@@ -6,8 +6,8 @@
 
 use reachtally_core::Instant;
 use reachtally_core::forward::era::Generation;
-use reachtally_core::forward::readers::View;
-use reachtally_core::forward::stewardship::{Stewardship, Token};
+use reachtally_core::forward::readers::GroupView;
+use reachtally_core::forward::stewardship::{FencingToken, Stewardship};
 use reachtally_core::ids::Incarnation;
 use tokio::time::sleep;
 
@@ -121,20 +121,20 @@
 }
 
 impl<S: Store> GroupMembership<S> {
-    fn with_view<T>(&self, f: impl FnOnce(&View<'_>) -> T) -> T {
+    fn with_view<T>(&self, f: impl FnOnce(&GroupView<'_>) -> T) -> T {
         self.relay.look(self.run, &[], f)
     }
 
     /// Returns whether this box should be in the group, given the known members.
     async fn should_join(&self, draw: f64) -> bool {
         if self.is_member {
-            return !self.with_view(|view| view.is_superfluous());
+            return !self.with_view(|view| view.is_surplus());
         }
-        if self.with_view(|view| view.is_listed() && !view.is_superfluous()) {
+        if self.with_view(|view| view.is_listed() && !view.is_surplus()) {
             return true;
         }
         let boxes = self.relay.boxes();
-        let join_probability = self.with_view(|view| view.chance_to_join(boxes));
+        let join_probability = self.with_view(|view| view.join_probability(boxes));
         join_probability > draw && self.are_readers_missing().await
     }
 
@@ -143,7 +143,7 @@
     async fn are_readers_missing(&self) -> bool {
         match self.store.members().await {
             Ok(members) => {
-                let are_readers_missing = |view: &View<'_>| view.missing_readers() > 0;
+                let are_readers_missing = |view: &GroupView<'_>| view.missing_readers() > 0;
                 self.relay
                     .with_view_of(&members, self.run, &[], are_readers_missing)
             }
@@ -210,7 +210,7 @@
     let was_steward = role.permit(began).is_some();
     let until = began + MEMBER_TTL.saturating_sub(STEWARD_MARGIN);
     match is_steward {
-        true => role.grant(Token(generation), until),
+        true => role.grant(FencingToken(generation), until),
         false => role.revoke(),
     }
     if was_steward != is_steward {
--- a/reachtally-relay/src/limits.rs
+++ b/reachtally-relay/src/limits.rs
@@ -57,16 +57,16 @@
 
     /// Removes the rate limit of a target whose own response states none.
     pub(crate) fn target_names_no_limit(&self, run: &TargetRun) {
-        if self.fleet.borrow().limit_of(run).is_some() {
+        if self.fleet.borrow().rate_limit_of(run).is_some() {
             self.state_limit(run, None);
         }
     }
 
     fn state_limit(&self, run: &TargetRun, limit: Option<RateLimit>) {
         let at = self.now();
-        let before = self.fleet.borrow().limit_of(run);
+        let before = self.fleet.borrow().rate_limit_of(run);
         let mut is_changed = false;
-        self.fleet.borrow_mut().note(run, at, |notice| {
+        self.fleet.borrow_mut().update_notice(run, at, |notice| {
             is_changed = notice.state_limit(StatedLimit { limit, at }, at);
         });
         if is_changed {
@@ -81,7 +81,7 @@
         let mut has_changed = false;
         for report in reports {
             let mut fleet = self.fleet.borrow_mut();
-            let before = fleet.limit_of(&report.target);
+            let before = fleet.rate_limit_of(&report.target);
             if limit::apply(&mut fleet, report, now) {
                 log_change(&report.target, report.limit, before);
                 has_changed = true;
--- a/reachtally-relay/src/listen.rs
+++ b/reachtally-relay/src/listen.rs
@@ -14,7 +14,7 @@
 use hyper::service::service_fn;
 use hyper::{Request, Response, Version};
 use hyper_util::rt::TokioIo;
-use reachtally_core::forward::read_ahead::CUT_AFTER;
+use reachtally_core::forward::read_ahead::SLOW_READER_TIMEOUT;
 use socket2::SockRef;
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 use tokio::net::{TcpListener, TcpStream};
@@ -218,7 +218,7 @@
             self.blocked_write = BlockedWrite::default();
             return Poll::Ready(Ok(count));
         }
-        if waited < CUT_AFTER {
+        if waited < SLOW_READER_TIMEOUT {
             return written;
         }
         self.relay.count(|tally| tally.readers_cut += 1);
--- a/reachtally-relay/src/occupied.rs
+++ b/reachtally-relay/src/occupied.rs
@@ -44,7 +44,7 @@
     pub fn new(relay: &Rc<Relay>, engines: Vec<EngineKey>, tokens: f64, prompt: f64) -> Self {
         let mut fleet = relay.fleet.borrow_mut();
         fleet.begin(&engines, tokens);
-        fleet.begin_reading(&engines, prompt);
+        fleet.begin_prefill(&engines, prompt);
         let first = engines.first().and_then(|key| fleet.get(*key));
         let service = first.map(|first| first.entry.service.clone());
         if let Some(service) = &service {
@@ -72,7 +72,7 @@
 
     /// Moves the request to `engines`, of which the new ones first prefill `prompt` tokens.
     pub fn move_to(&mut self, engines: Vec<EngineKey>, prompt: f64) {
-        self.end_reading();
+        self.end_prefill();
         let is_new = |key: &EngineKey| !self.engines.contains(key);
         self.prefilling_engines = engines.iter().copied().filter(is_new).collect();
         // Each engine of a path counts its share of the prompt.
@@ -81,16 +81,16 @@
         let mut fleet = self.relay.fleet.borrow_mut();
         fleet.end(&self.engines, self.tokens);
         fleet.begin(&engines, self.tokens);
-        fleet.begin_reading(&self.prefilling_engines, self.pending_prompt);
+        fleet.begin_prefill(&self.prefilling_engines, self.pending_prompt);
         self.engines = engines;
     }
 
     /// Records that the prefill is complete.
-    pub fn end_reading(&mut self) {
+    pub fn end_prefill(&mut self) {
         let read = std::mem::take(&mut self.pending_prompt);
         if read > 0.0 {
             let mut fleet = self.relay.fleet.borrow_mut();
-            fleet.end_reading(&self.prefilling_engines, read);
+            fleet.end_prefill(&self.prefilling_engines, read);
         }
     }
 
@@ -102,7 +102,7 @@
 
 impl Drop for Occupied {
     fn drop(&mut self) {
-        self.end_reading();
+        self.end_prefill();
         let mut fleet = self.relay.fleet.borrow_mut();
         fleet.end(&self.engines, self.tokens);
         drop(fleet);
--- a/reachtally-relay/src/pace.rs
+++ b/reachtally-relay/src/pace.rs
@@ -39,8 +39,9 @@
 /// Returns whether the slowdown of an engine is unknown and the engine may be queried.
 fn should_query(relay: &Relay, key: EngineKey) -> bool {
     let fleet = relay.fleet.borrow();
-    let is_known =
-        |engine: &Engine| engine.remote_pace.is_some() || engine.own_pace(relay.now()).is_some();
+    let is_known = |engine: &Engine| {
+        engine.remote_slowdown.is_some() || engine.own_slowdown(relay.now()).is_some()
+    };
     let is_limited = |engine: &Engine| engine.notice.limit().is_some();
     let is_eligible = |engine: &Engine| {
         !is_known(engine) && !is_limited(engine) && engine.accepts_requests(relay.now())
@@ -62,6 +63,6 @@
     }
     let now = relay.now();
     if let Some(engine) = relay.fleet.borrow_mut().get_mut(key) {
-        engine.told_pace(pace, now);
+        engine.record_slowdown(pace, now);
     }
 }
--- a/reachtally-relay/src/quarantine.rs
+++ b/reachtally-relay/src/quarantine.rs
@@ -6,7 +6,7 @@
 use reachtally_core::Instant;
 use reachtally_core::forward::fingerprint::Fingerprint;
 use reachtally_core::forward::quarantine::{
-    AccountDigest, End, Origin, Quarantine, RunDigest, Told, Verdict,
+    AccountDigest, ChangeOrigin, CrashRecord, Quarantine, RunDigest, SuspectReport, Verdict,
 };
 use tokio::sync::{Notify, watch};
 
@@ -48,12 +48,12 @@
     }
 
     /// Returns recently changed evidence.
-    pub fn changes(&self, origin: Origin, now: Instant) -> Vec<Told> {
+    pub fn changes(&self, origin: ChangeOrigin, now: Instant) -> Vec<SuspectReport> {
         self.table.borrow().changes(origin, now)
     }
 
     /// Returns one page of all evidence.
-    pub fn page(&self, number: u64, now: Instant) -> Vec<Told> {
+    pub fn page(&self, number: u64, now: Instant) -> Vec<SuspectReport> {
         self.table.borrow().page(number, now)
     }
 
@@ -89,7 +89,7 @@
         if !target::refuses_connections(to.address).await {
             return;
         }
-        let end = End {
+        let end = CrashRecord {
             run: RunDigest::from(&to.run),
             had_begun: progress == Progress::Begun,
             is_acquitted: false,
@@ -98,7 +98,7 @@
         let fingerprint = call.fingerprint();
         let changed = {
             let mut table = self.suspicion.table.borrow_mut();
-            table.run_ended(fingerprint, account, end, self.now())
+            table.record_crash(fingerprint, account, end, self.now())
         };
         let Some(verdict) = changed else {
             return;
@@ -120,7 +120,7 @@
         }
         let fingerprint = call.fingerprint();
         let was_quarantined = table.verdict(fingerprint) == Verdict::Quarantined;
-        if table.acquit(fingerprint, self.now()) {
+        if table.clear_suspicion(fingerprint, self.now()) {
             if was_quarantined {
                 self.suspicion.mark_unsaved(fingerprint);
             }
@@ -130,13 +130,13 @@
     }
 
     /// Merges evidence from another box; returns whether any of it is new.
-    pub(crate) fn hear_suspects(&self, reported: &[Told]) -> bool {
+    pub(crate) fn hear_suspects(&self, reported: &[SuspectReport]) -> bool {
         let now = self.now();
         let mut table = self.suspicion.table.borrow_mut();
         let mut is_changed = false;
         for evidence in reported {
             let before = table.verdict(evidence.fingerprint);
-            is_changed |= table.hear(evidence, now);
+            is_changed |= table.receive(evidence, now);
             let verdict = table.verdict(evidence.fingerprint);
             if before != verdict {
                 log::info!(event = "suspect", fingerprint:% = evidence.fingerprint, before:? = before, verdict:? = verdict; "evidence from other boxes changed the verdict on a request");
@@ -147,7 +147,7 @@
     }
 
     /// Merges evidence that earlier runs of boxes saved in the store.
-    pub(crate) fn take_over_suspects(&self, saved: &[Told]) {
+    pub(crate) fn take_over_suspects(&self, saved: &[SuspectReport]) {
         if self.hear_suspects(saved) {
             log::info!(event = "suspects-read", requests = saved.len(); "loaded suspect requests from the store");
             self.suspicion.news.notify_one();
@@ -162,7 +162,7 @@
         let now = self.now();
         let table = self.suspicion.table.borrow();
         let unsaved = self.suspicion.unsaved.borrow();
-        let change = |fingerprint: &Fingerprint| match table.tell(*fingerprint, now) {
+        let change = |fingerprint: &Fingerprint| match table.report(*fingerprint, now) {
             Some(evidence) => SuspectChange::Keep(evidence),
             None => SuspectChange::Drop(*fingerprint),
         };
@@ -173,8 +173,8 @@
     pub(crate) fn suspects_kept(&self, changes: &[SuspectChange]) {
         let now = self.now();
         let table = self.suspicion.table.borrow();
-        let is_current = |evidence: &Told| {
-            let current = table.tell(evidence.fingerprint, now);
+        let is_current = |evidence: &SuspectReport| {
+            let current = table.report(evidence.fingerprint, now);
             current.is_some_and(|current| current.ends == evidence.ends)
         };
         let mut unsaved = self.suspicion.unsaved.borrow_mut();
--- a/reachtally-relay/src/relay.rs
+++ b/reachtally-relay/src/relay.rs
@@ -10,12 +10,12 @@
 use reachtally_clock::Clock;
 use reachtally_core::Instant;
 use reachtally_core::forward::budget::BudgetBounds;
-use reachtally_core::forward::changes::Changes;
-use reachtally_core::forward::era::{Era, Eras, Generation, Position};
+use reachtally_core::forward::changes::ChangeLog;
+use reachtally_core::forward::era::{Era, EraTracker, Generation, Position};
 use reachtally_core::forward::fleet::{EngineKey, Fleet};
 use reachtally_core::forward::loads::RemoteLoads;
 use reachtally_core::forward::peers::{self, Member};
-use reachtally_core::forward::readers::View;
+use reachtally_core::forward::readers::GroupView;
 use reachtally_core::forward::routes::Service;
 use reachtally_core::forward::select;
 use reachtally_core::forward::stall::Progress;
@@ -122,7 +122,7 @@
     /// neither the store nor another box can revert the targets to an older state.
     pub targets_end: Cell<Position>,
     /// Era of the store, and when it was last restored from a backup.
-    pub eras: Cell<Eras>,
+    pub eras: Cell<EraTracker>,
     /// Last era in which the operator is known to have written a configuration.
     pub(crate) configured_in: Cell<Option<Era>>,
     /// Whether this box's own reads of the store are failing.
@@ -132,7 +132,7 @@
     /// Latency histograms for metrics.
     pub times: Times,
     /// Recent target changes to send to other boxes.
-    pub changes: RefCell<Changes>,
+    pub changes: RefCell<ChangeLog>,
     /// Recently sent pages of target changes.
     pub(crate) pages: RefCell<Pages>,
     clock: Clock,
@@ -317,7 +317,7 @@
         &self,
         run: Incarnation,
         avoid: &[IpAddr],
-        f: impl FnOnce(&View<'_>) -> T,
+        f: impl FnOnce(&GroupView<'_>) -> T,
     ) -> T {
         let members = self.members.borrow();
         self.with_view_of(&members, run, avoid, f)
@@ -329,10 +329,10 @@
         members: &[Member],
         run: Incarnation,
         avoid: &[IpAddr],
-        f: impl FnOnce(&View<'_>) -> T,
+        f: impl FnOnce(&GroupView<'_>) -> T,
     ) -> T {
         let settings = self.settings.borrow();
-        f(&View {
+        f(&GroupView {
             members,
             home: &settings.domain,
             run,
@@ -340,8 +340,8 @@
             seeds: &settings.seeds,
             avoid,
             stale: &[],
-            is_young: false,
-            is_sound: true,
+            has_just_started: false,
+            is_store_current: true,
         })
     }
 
@@ -417,7 +417,7 @@
         if self.are_reports_complete() {
             return 1.0;
         }
-        let reporting_domains = self.remote_loads.borrow().domains_heard();
+        let reporting_domains = self.remote_loads.borrow().reported_domains();
         if reporting_domains == 0 {
             return f64::from(ASSUMED_BOXES);
         }
--- a/reachtally-relay/src/second_sends.rs
+++ b/reachtally-relay/src/second_sends.rs
@@ -5,12 +5,12 @@
 use std::sync::Arc;
 
 use reachtally_core::Instant;
-use reachtally_core::forward::budget::{BudgetBounds, SharedBudget};
+use reachtally_core::forward::budget::{BudgetBounds, SharedRetryBudget};
 
 /// Budgets of the services that this box sends to. Each counts from the start of the process, since an earlier
 /// run of this box may have used part of it.
 #[derive(Debug, Default)]
-pub(crate) struct SecondSends(RefCell<HashMap<Arc<str>, SharedBudget>>);
+pub(crate) struct SecondSends(RefCell<HashMap<Arc<str>, SharedRetryBudget>>);
 
 impl SecondSends {
     /// Counts a request for `service`.
@@ -30,9 +30,13 @@
         self.with_budget(service, |budget| budget.take(now, bounds, boxes))
     }
 
-    fn with_budget<T>(&self, service: &Arc<str>, spend: impl FnOnce(&mut SharedBudget) -> T) -> T {
+    fn with_budget<T>(
+        &self,
+        service: &Arc<str>,
+        spend: impl FnOnce(&mut SharedRetryBudget) -> T,
+    ) -> T {
         let mut budgets = self.0.borrow_mut();
         let budget = budgets.entry(service.clone());
-        spend(budget.or_insert_with(|| SharedBudget::of_box(Instant::ZERO)))
+        spend(budget.or_insert_with(|| SharedRetryBudget::starting_at(Instant::ZERO)))
     }
 }
--- a/reachtally-relay/src/serve.rs
+++ b/reachtally-relay/src/serve.rs
@@ -13,9 +13,9 @@
 use hyper::http::request::Parts;
 use hyper::{Request, Response, StatusCode};
 use reachtally_core::Instant;
-use reachtally_core::forward::fingerprint::{Fingerprint, Identity};
+use reachtally_core::forward::fingerprint::{Fingerprint, RequestIdentity};
 use reachtally_core::forward::routes::{
-    Account, CallerLimits, Denied, Route, Service, Shape, Table, Urgency,
+    Account, CallerLimits, Denied, ResponseShape, Route, Service, Table, Urgency,
 };
 use reachtally_core::life::{GivenUp, Life, Received, Refusal};
 
@@ -63,7 +63,7 @@
     /// Returns the fingerprint that this request shares with its caller's retries.
     pub fn fingerprint(&self) -> Fingerprint {
         let path = self.parts.uri.path_and_query();
-        let identity = || Identity {
+        let identity = || RequestIdentity {
             method: self.parts.method.as_str(),
             host: host(&self.parts).unwrap_or_default(),
             path: path.map_or("/", |path| path.as_str()),
@@ -104,8 +104,8 @@
     relay.count_request(&call.service_name);
     relay.note_offered(&call.service_name, call.account.as_deref(), relay.now());
     match call.route.shape {
-        Shape::Whole => whole::relay(relay, &call).await,
-        Shape::Events { .. } => stream::relay(relay, call).await,
+        ResponseShape::Whole => whole::relay(relay, &call).await,
+        ResponseShape::Events { .. } => stream::relay(relay, call).await,
     }
 }
 
--- a/reachtally-relay/src/share/answer.rs
+++ b/reachtally-relay/src/share/answer.rs
@@ -6,7 +6,7 @@
 
 use bytes::Bytes;
 use futures::{SinkExt, StreamExt};
-use reachtally_core::forward::changes::{Changes, Cursor, Since};
+use reachtally_core::forward::changes::{ChangeLog, Cursor, Delta};
 use reachtally_core::forward::fleet::Engine;
 use reachtally_core::ids::Incarnation;
 use reachtally_protocol::news::{Ask, News, TargetPage, frames};
@@ -142,7 +142,7 @@
     fn page(
         &mut self,
         relay: &Relay,
-        changes: &Changes,
+        changes: &ChangeLog,
         known: Cursor,
         run: Incarnation,
     ) -> std::io::Result<Bytes> {
@@ -161,18 +161,18 @@
 }
 
 /// Builds the compressed page of the given changes.
-fn build_page(relay: &Relay, since: &Since) -> std::io::Result<Bytes> {
+fn build_page(relay: &Relay, since: &Delta) -> std::io::Result<Bytes> {
     let fleet = relay.fleet.borrow();
     let mut page = TargetPage::default();
     match since {
-        Since::Whole => {
+        Delta::Whole => {
             page.is_whole = true;
             for (_, engine) in fleet.iter() {
                 add_entry(&mut page, engine);
             }
         }
-        Since::Changed(ids) if ids.is_empty() => return Ok(Bytes::new()),
-        Since::Changed(ids) => {
+        Delta::Changed(ids) if ids.is_empty() => return Ok(Bytes::new()),
+        Delta::Changed(ids) => {
             for id in ids {
                 match fleet.find(id).and_then(|key| fleet.get(key)) {
                     Some(engine) => add_entry(&mut page, engine),
