--- a/reachtally-relay/src/share/ask.rs
+++ b/reachtally-relay/src/share/ask.rs
@@ -7,8 +7,8 @@
 use futures::{SinkExt, StreamExt};
 use reachtally_core::Instant;
 use reachtally_core::forward::changes::Cursor;
-use reachtally_core::forward::fleet::{Entry, Evidence};
-use reachtally_core::forward::readers::{Origin, View};
+use reachtally_core::forward::fleet::{Entry, EntrySource};
+use reachtally_core::forward::readers::{GroupView, ReadSource};
 use reachtally_core::ids::Incarnation;
 use reachtally_protocol::news::{Ask, News, TargetPage, frames};
 use tokio::time::{sleep, timeout};
@@ -88,14 +88,14 @@
     loop {
         drop_expired(&relay, &mut cooldowns);
         let ip = match origin(&relay, run, &cooldowns, first_seed) {
-            Origin::Box(ip) => ip,
-            Origin::Store => {
+            ReadSource::Box(ip) => ip,
+            ReadSource::Store => {
                 relay.set_direct(true);
                 source = None;
                 sleep(DIRECT_INTERVAL).await;
                 continue;
             }
-            Origin::Nowhere => {
+            ReadSource::Unavailable => {
                 relay.set_direct(false);
                 sleep(NO_SOURCE_INTERVAL).await;
                 continue;
@@ -172,7 +172,7 @@
 /// is the first to notice the recovery of the store and requests to it cost no store call, and other boxes may be starting too.
 fn cooldown(relay: &Relay, ip: IpAddr, why: &SourceError) -> Cooldown {
     let is_stale = matches!(why, SourceError::Stale(_));
-    let duration = if is_young(relay) {
+    let duration = if has_just_started(relay) {
         STARTUP_COOLDOWN
     } else if relay.store_away.get() {
         OUTAGE_COOLDOWN
@@ -188,7 +188,7 @@
     }
 }
 
-fn is_young(relay: &Relay) -> bool {
+fn has_just_started(relay: &Relay) -> bool {
     relay.now().elapsed() < SEED_CONFIGURATION_TIMEOUT
 }
 
@@ -199,7 +199,7 @@
     run: Incarnation,
     cooldowns: &[Cooldown],
     first_seed: Option<IpAddr>,
-) -> Origin {
+) -> ReadSource {
     let settings = relay.settings.borrow();
     let mut seeds = settings.seeds.clone();
     seeds.sort_by_key(|seed| Some(*seed) != first_seed);
@@ -210,7 +210,7 @@
         cooldowns.into_iter().map(|cooldown| cooldown.ip).collect()
     };
     let (stale, silent) = (ips(stale), ips(silent));
-    let view = View {
+    let view = GroupView {
         members: &members,
         home: &settings.domain,
         run,
@@ -218,8 +218,8 @@
         seeds: &seeds,
         avoid: &silent,
         stale: &stale,
-        is_young: is_young(relay),
-        is_sound: is_fresh(relay),
+        has_just_started: has_just_started(relay),
+        is_store_current: is_fresh(relay),
     };
     relay.is_reader.set(view.is_first());
     view.origin()
@@ -360,8 +360,8 @@
         relay.replace_targets(page.wrote, false);
     } else {
         let evidence_of = |entry: &Entry| match page.lapsed.iter().any(|id| **id == *entry.id) {
-            true => Evidence::Listed,
-            false => Evidence::Written,
+            true => EntrySource::Listed,
+            false => EntrySource::Written,
         };
         let shown = page.wrote.into_iter().map(|entry| {
             let evidence = evidence_of(&entry);
--- a/reachtally-relay/src/store.rs
+++ b/reachtally-relay/src/store.rs
@@ -14,7 +14,7 @@
 use reachtally_core::forward::peers::Member;
 use reachtally_core::forward::placement::Move;
 use reachtally_core::forward::quarantine;
-use reachtally_core::forward::stewardship::Permit;
+use reachtally_core::forward::stewardship::OrderPermit;
 
 use crate::wire::Statement;
 
@@ -97,7 +97,7 @@
 #[derive(Debug, Clone, PartialEq)]
 pub enum SuspectChange {
     /// Store this evidence until it expires.
-    Keep(quarantine::Told),
+    Keep(quarantine::SuspectReport),
     /// Remove the evidence on this request, which has expired.
     Drop(Fingerprint),
 }
@@ -135,7 +135,7 @@
     ) -> impl Future<Output = Result<Feed<TargetChange>, StoreError>>;
 
     /// Reads the stored evidence on suspect requests, including expired evidence.
-    fn suspects(&self) -> impl Future<Output = Result<Vec<quarantine::Told>, StoreError>>;
+    fn suspects(&self) -> impl Future<Output = Result<Vec<quarantine::SuspectReport>, StoreError>>;
 
     /// Changes the stored evidence on suspect requests.
     fn change_suspects(
@@ -192,7 +192,7 @@
         &self,
         engine: &Engine,
         placed: &Move,
-        permit: Permit,
+        permit: OrderPermit,
     ) -> impl Future<Output = Told<OrderAnswer>>;
 
     /// Queries the slowdown factor of an engine, 1 if it runs normally; `None` if the engine does not report it.
--- a/reachtally-relay/src/stream/ahead.rs
+++ b/reachtally-relay/src/stream/ahead.rs
@@ -8,7 +8,7 @@
 
 use bytes::Bytes;
 use reachtally_core::Instant;
-use reachtally_core::forward::read_ahead::{self, Held};
+use reachtally_core::forward::read_ahead::{self, BufferedBytes};
 use tokio::sync::{Notify, mpsc};
 
 use crate::relay::Relay;
@@ -37,8 +37,8 @@
 }
 
 impl Usage {
-    fn held(&self) -> Held {
-        Held {
+    fn held(&self) -> BufferedBytes {
+        BufferedBytes {
             stream: self.held.load(Ordering::Relaxed),
             all: self.pool.held(),
         }
@@ -144,7 +144,7 @@
         loop {
             let consumed = self.usage.consumed.notified();
             let released = self.usage.pool.released.notified();
-            let max = read_ahead::all_bytes(relay.settings.borrow().memory);
+            let max = read_ahead::max_buffered_bytes(relay.settings.borrow().memory);
             let held = self.usage.held();
             if read_ahead::may_read(held, max) {
                 let Some(paused_at) = paused_at else {
@@ -158,7 +158,7 @@
             let woken = async {
                 tokio::select! {
                     () = consumed => {}
-                    () = released, if held.stream < read_ahead::STREAM_BYTES => {}
+                    () = released, if held.stream < read_ahead::MAX_STREAM_BYTES => {}
                 }
             };
             if relay.until_due(due, woken).await.is_none() {
--- a/reachtally-relay/src/stream/chain.rs
+++ b/reachtally-relay/src/stream/chain.rs
@@ -8,7 +8,7 @@
 use reachtally_core::Instant;
 use reachtally_core::forward::fleet::EngineKey;
 use reachtally_core::forward::path::Path;
-use reachtally_core::forward::read_ahead::HeldUp;
+use reachtally_core::forward::read_ahead::EngineStall;
 use reachtally_core::forward::stall::Gaps;
 use tokio::sync::watch;
 
@@ -42,7 +42,7 @@
     /// Estimated gap between events: the expected one, updated by the observed ones.
     gaps: Gaps,
     timing: Timing,
-    backpressure: HeldUp,
+    backpressure: EngineStall,
     /// Time of the last event, or when waiting for the first one started.
     waiting_since: Instant,
     /// When to check the engines if no event arrives.
@@ -161,7 +161,7 @@
             first,
             gaps: Gaps::expected(timing.expected_gap),
             timing,
-            backpressure: HeldUp::default(),
+            backpressure: EngineStall::default(),
             waiting_since: now,
             check_at: now,
             runs_ended: relay.runs_ended(),
@@ -396,7 +396,7 @@
     /// Updates the timing and the progress of the engines after data arrived.
     fn handle_data(&mut self, relay: &Relay) {
         let now = relay.now();
-        self.occupied.end_reading();
+        self.occupied.end_prefill();
         self.timing.record_event(now, self.waiting_since);
         let gap = now.since(self.waiting_since);
         self.waiting_since = now;
--- a/reachtally-relay/src/stream/mod.rs
+++ b/reachtally-relay/src/stream/mod.rs
@@ -19,7 +19,7 @@
 use hyper::Response;
 use hyper::body::Frame;
 use reachtally_core::Instant;
-use reachtally_core::forward::routes::Shape;
+use reachtally_core::forward::routes::ResponseShape;
 
 use crate::admission::Decision;
 use crate::answer::{Body, CutShort};
@@ -275,7 +275,7 @@
     splitter: &Splitter,
     until: Instant,
 ) -> Option<RunningChain> {
-    let Shape::Events {
+    let ResponseShape::Events {
         resumable: true, ..
     } = call.route.shape
     else {
--- a/reachtally-relay/src/stream/send.rs
+++ b/reachtally-relay/src/stream/send.rs
@@ -275,8 +275,8 @@
             Err(_) if repair.is_some() => continue,
             Err(_) => {}
         }
-        let is_silent = relay.now().since(started_at) > SILENT_CHAIN_TIMEOUT;
-        if is_reused && is_silent && can_reroute(relay, call, attempts, &[]) {
+        let is_unresponsive = relay.now().since(started_at) > SILENT_CHAIN_TIMEOUT;
+        if is_reused && is_unresponsive && can_reroute(relay, call, attempts, &[]) {
             let why = "no answer over a reused connection".to_owned();
             return Err(Unanswered::Lost(why));
         }
@@ -291,7 +291,7 @@
                 continue;
             }
         }
-        if failed.is_empty() && is_silent {
+        if failed.is_empty() && is_unresponsive {
             let silent = relay
                 .progress
                 .borrow()
--- a/reachtally-relay/src/targets/answers.rs
+++ b/reachtally-relay/src/targets/answers.rs
@@ -15,7 +15,7 @@
             return;
         };
         log::info!(event = "target-failed", target = &*engine.entry.id, address:% = engine.entry.address, why = why; "target failed; it is in cooldown");
-        fleet.failed(key, self.now());
+        fleet.record_failure(key, self.now());
         self.count(|tally| tally.target_failures += 1);
     }
 
@@ -24,7 +24,7 @@
         let now = self.now();
         if let Some(engine) = self.fleet.borrow_mut().get_mut(key) {
             log::info!(event = "target-contradicted", target = &*engine.entry.id, address:% = engine.entry.address, layers:? = engine.entry.layers; "target contradicted its entry; it is excluded until the entry changes");
-            engine.health.contradicted(now);
+            engine.health.mark_contradicted(now);
         }
     }
 
@@ -54,10 +54,12 @@
     /// Marks a target as leaving. This box sends it no more requests, whatever its entry says.
     fn target_leaves(&self, run: &TargetRun) {
         let mut is_new = false;
-        self.fleet.borrow_mut().note(run, self.now(), |notice| {
-            is_new = !notice.is_leaving();
-            notice.leave();
-        });
+        self.fleet
+            .borrow_mut()
+            .update_notice(run, self.now(), |notice| {
+                is_new = !notice.is_leaving();
+                notice.leave();
+            });
         if is_new {
             log::info!(event = "target-leaves", target = &*run.id; "target announced in an answer that it is leaving");
         }
@@ -69,7 +71,7 @@
         self.count(|tally| tally.rests_asked += 1);
         log::info!(event = "target-rests", target = &*run.id, rest_ms = back_off.as_millis() as u64; "target requested a back-off; no requests are sent to it until then");
         let mut fleet = self.fleet.borrow_mut();
-        fleet.note(run, now, |notice| notice.back_off(now + back_off));
+        fleet.update_notice(run, now, |notice| notice.back_off(now + back_off));
     }
 
     /// Counts a send to a target during a requested back-off.
--- a/reachtally-relay/src/targets/entries.rs
+++ b/reachtally-relay/src/targets/entries.rs
@@ -3,7 +3,7 @@
 use std::collections::HashSet;
 use std::sync::Arc;
 
-use reachtally_core::forward::fleet::{EngineKey, Entry, Evidence, RunOrder};
+use reachtally_core::forward::fleet::{EngineKey, Entry, EntrySource, RunOrder};
 use tokio::sync::watch;
 
 use crate::relay::Relay;
@@ -14,12 +14,12 @@
 const MAX_ENTRY_LINES: usize = 4;
 
 /// An entry and how it was obtained.
-type Observation = (Entry, Evidence);
+type Observation = (Entry, EntrySource);
 
 impl Relay {
     /// Updates a target from an entry that it wrote.
     pub fn target_wrote(&self, entry: Entry) {
-        self.update_targets(vec![(entry, Evidence::Written)]);
+        self.update_targets(vec![(entry, EntrySource::Written)]);
     }
 
     /// Updates targets from the entries of one read.
@@ -33,7 +33,7 @@
             let (key, is_changed) = fleet.upsert(entry, evidence, self.now());
             ended.extend(previous.filter(|previous| *previous != key));
             if is_changed {
-                self.changes.borrow_mut().note(id);
+                self.changes.borrow_mut().record(id);
                 changed.push(key);
             }
         }
@@ -90,8 +90,8 @@
 
     /// Marks a target whose entry is missing, possibly through a fault of the store.
     pub fn mark_missing(&self, id: &str) {
-        if self.fleet.borrow_mut().miss(id, self.now()) {
-            self.changes.borrow_mut().note(Arc::from(id));
+        if self.fleet.borrow_mut().mark_missing(id, self.now()) {
+            self.changes.borrow_mut().record(Arc::from(id));
             self.touched();
         }
     }
@@ -99,7 +99,7 @@
     /// Removes a target.
     pub(crate) fn remove_target(&self, id: &str) {
         if self.fleet.borrow_mut().remove(id, self.now()).is_some() {
-            self.changes.borrow_mut().note(Arc::from(id));
+            self.changes.borrow_mut().record(Arc::from(id));
             self.touched();
         }
     }
@@ -108,7 +108,9 @@
     pub fn replace_targets(&self, entries: Vec<Entry>, may_be_lost: bool) {
         let known = self.fleet.borrow().ids();
         let listed: HashSet<Arc<str>> = entries.iter().map(|entry| entry.id.clone()).collect();
-        let observations = entries.into_iter().map(|entry| (entry, Evidence::Listed));
+        let observations = entries
+            .into_iter()
+            .map(|entry| (entry, EntrySource::Listed));
         self.update_targets(observations.collect());
         for id in known.iter().filter(|id| !listed.contains(*id)) {
             self.target_gone(id, may_be_lost);
@@ -122,7 +124,7 @@
             .into_iter()
             .filter_map(|entry| self.newer_part(entry));
         let observations: Vec<Observation> = observations
-            .map(|entry| (entry, Evidence::Listed))
+            .map(|entry| (entry, EntrySource::Listed))
             .collect();
         self.update_targets(observations);
     }
@@ -134,7 +136,7 @@
         let Some(known) = known else {
             return Some(entry);
         };
-        match entry.run_since(&known.entry) {
+        match entry.run_order(&known.entry) {
             RunOrder::Later => Some(entry),
             RunOrder::Same if entry.draining => Some(Entry {
                 draining: true,
--- a/reachtally-relay/src/targets/presence.rs
+++ b/reachtally-relay/src/targets/presence.rs
@@ -61,7 +61,7 @@
                 self.count(|tally| tally.targets_found_dead += 1);
                 found.push(*key);
             }
-            engine.health.found_dead(now);
+            engine.health.mark_dead(now);
         }
         drop(fleet);
         if !found.is_empty() {
@@ -75,7 +75,7 @@
         keys.iter().all(|key| {
             fleet
                 .get(*key)
-                .is_none_or(|engine| !engine.health.is_silent())
+                .is_none_or(|engine| !engine.health.is_unresponsive())
         })
     }
 
@@ -174,7 +174,7 @@
         let is_dead = |key: &&EngineKey| {
             fleet
                 .get(**key)
-                .is_none_or(|engine| engine.health.is_dead() || engine.is_remotely_silent())
+                .is_none_or(|engine| engine.health.is_dead() || engine.is_reported_unresponsive())
         };
         engines.iter().filter(is_dead).copied().collect()
     }
@@ -199,13 +199,13 @@
             log::info!(event = "target-back", address:% = address; "dead target accepts connections again");
             self.mark_alive(key);
         } else if let Some(engine) = self.fleet.borrow_mut().get_mut(key) {
-            engine.health.probed_in_vain(self.now());
+            engine.health.probe_failed(self.now());
         }
     }
 
     fn mark_alive(&self, key: EngineKey) {
         if let Some(engine) = self.fleet.borrow_mut().get_mut(key) {
-            engine.health.found_alive(self.now());
+            engine.health.mark_alive(self.now());
         }
     }
 }
--- a/reachtally-relay/src/whole.rs
+++ b/reachtally-relay/src/whole.rs
@@ -103,7 +103,7 @@
         after: relay.now().since(call.arrived),
         targets: engine.map_or_else(String::new, |engine| engine.entry.id.to_string()),
         running: engine.map_or(0, |engine| engine.running),
-        remote_running: engine.map_or(0.0, |engine| engine.others_told),
+        remote_running: engine.map_or(0.0, |engine| engine.reported_remote_running),
         expected_first: call.route.objective,
     }
 }
