--- a/reachtally-bench/src/admission/engines.rs
+++ b/reachtally-bench/src/admission/engines.rs
@@ -40,7 +40,7 @@
     };
     let cards = [(FAST, card(1.6, 1.0)), (SLOW, card(16.0, 10.0))];
     model.cards = cards.map(|(name, card)| (name.to_owned(), card)).into();
-    model.usual_prompt = 800.0;
+    model.mean_prompt_tokens = 800.0;
     model
 }
 
@@ -157,14 +157,14 @@
     fn chain_capacity(&self, first: usize) -> f64 {
         let chain = &self.all[first..first + STAGES];
         let room = chain.iter().map(|engine| engine.room);
-        let batch = room.fold(f64::INFINITY, f64::min) / self.model.usual_context();
+        let batch = room.fold(f64::INFINITY, f64::min) / self.model.mean_context_tokens();
         let mut rate = 0.0;
         for _ in 0..ROUNDS {
             let token = |engine: &Engine| self.token_ms(engine, batch, rate);
             let token_ms: f64 = chain.iter().map(token).sum();
-            let read = |engine: &Engine| self.read_ms(engine, self.model.usual_prompt);
-            let read_ms: f64 = chain.iter().map(read).sum();
-            let held_ms = read_ms + token_ms * self.model.usual_answer;
+            let read = |engine: &Engine| self.prefill_ms(engine, self.model.mean_prompt_tokens);
+            let prefill_ms: f64 = chain.iter().map(read).sum();
+            let held_ms = prefill_ms + token_ms * self.model.mean_answer_tokens;
             // Half of the step, so that the rounds converge.
             rate = (rate + batch * 1000.0 / held_ms) / 2.0;
         }
@@ -179,14 +179,14 @@
 
     fn token_ms(&self, engine: &Engine, running: f64, rate: f64) -> f64 {
         let model = &self.model;
-        let batch = running * model.share(self.layers) + 1.0;
-        let slowdown = model.reading_slowdown(&engine.card, self.layers, rate);
+        let batch = running * model.layer_fraction(self.layers) + 1.0;
+        let slowdown = model.prefill_slowdown(&engine.card, self.layers, rate);
         let step_ms = model.step_ms(&engine.card, self.layers, batch);
         step_ms * WAIT_FACTOR * slowdown * self.pace + HOP_US as f64 / 1000.0
     }
 
-    fn read_ms(&self, engine: &Engine, tokens: f64) -> f64 {
-        self.model.read_ms(&engine.card, self.layers, tokens) * self.pace
+    fn prefill_ms(&self, engine: &Engine, tokens: f64) -> f64 {
+        self.model.prefill_ms(&engine.card, self.layers, tokens) * self.pace
     }
 
     /// Whether an engine has room for a request beside those that run.
@@ -228,7 +228,7 @@
             let rate = engine.rate.0 * (-passed / RATE_TIME).exp() + 1.0 / RATE_TIME;
             engine.rate = (rate, now);
             let engine = &self.all[*number];
-            let read_us = self.read_ms(engine, job.load.prompt) * 1000.0;
+            let read_us = self.prefill_ms(engine, job.load.prompt) * 1000.0;
             token_ms += self.token_ms(engine, f64::from(engine.running), rate);
             at = engine.reading_until.max(at + HOP_US) + read_us as u64;
             self.all[*number].reading_until = at;
--- a/reachtally-bench/src/admission/play.rs
+++ b/reachtally-bench/src/admission/play.rs
@@ -8,12 +8,14 @@
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use reachtally_core::forward::admission::{
-    Class, Order, Rank, Running, Standing, Verdict, path_offer,
+    Class, QueuePosition, Rank, Running, Standing, Verdict, path_offer,
 };
 use reachtally_core::forward::budget::BudgetBounds;
 use reachtally_core::forward::cost::LayerModel;
 use reachtally_core::forward::fleet::EngineKey;
-use reachtally_core::forward::select::{self, Aim, Choice, Circumstance, Need};
+use reachtally_core::forward::select::{
+    self, Choice, LatencyObjectives, Requirements, SelectionContext,
+};
 
 use super::engines::{self, DOMAINS, Engines, Job, Sent};
 use super::scenario::{ACCOUNTS, MIX, OBJECTIVES_US, RANKS, Scenario};
@@ -41,7 +43,7 @@
 /// Aim for the time between two events, in ms.
 const GAP_MS: f64 = 200.0;
 /// Part of the room that is kept for more urgent ranks at most; a path with more than that free has room for all.
-const MOST_RESERVED: f64 = 0.3;
+const MAX_RESERVED: f64 = 0.3;
 /// Time between two samples of the use of engines, in µs.
 const SAMPLE_US: u64 = 100_000;
 /// Boxes and time after the start as the relay has them.
@@ -129,7 +131,7 @@
     standing: Standing,
     is_done: bool,
     /// Its place in the queue of its box.
-    place: Option<Order>,
+    place: Option<QueuePosition>,
     job: Job,
 }
 
@@ -377,10 +379,10 @@
         let request = &self.requests[number];
         let load = request.job.load;
         let objective = OBJECTIVES_US[usize::from(request.job.rank)];
-        let need = Need {
+        let need = Requirements {
             prompt: load.prompt,
             answer: load.answer,
-            aim: Aim {
+            objectives: LatencyObjectives {
                 first_ms: Some(objective as f64 / 1000.0),
                 gap_ms: Some(GAP_MS),
             },
@@ -388,19 +390,19 @@
         let entrance = &self.exchange.boxes[request.at];
         let is_settled = self.timeline.now_us() >= SETTLED_US;
         let heard = entrance.remote_loads.reported_domains();
-        let unheard = match (is_settled, heard) {
+        let load_scale = match (is_settled, heard) {
             (true, _) => 1.0,
             (false, 0) => f64::from(BOXES_ASSUMED),
             (false, heard) => (DOMAINS as f64 / heard as f64).max(1.0),
         };
         let avoid = self.unreachable(request.at);
-        let cx = Circumstance {
+        let cx = SelectionContext {
             now: self.timeline.clock(),
             home: &entrance.domain,
             avoid: &avoid,
             held: self.entrances[request.at].held(),
             boxes: self.known_boxes(request.at),
-            unheard,
+            load_scale,
             draw: request.draw,
             limits: select::Limits::Enforced,
         };
@@ -430,7 +432,7 @@
             rank: Rank(request.job.rank),
             standing: request.standing,
             is_resumed: false,
-            is_return: request.tries > 1,
+            is_retry: request.tries > 1,
         }
     }
 
@@ -607,7 +609,7 @@
         self.is_contended = true;
         if self.is_counting {
             self.seen.refusals += 1;
-            self.seen.refusals_free += u64::from(least < 1.0 - MOST_RESERVED);
+            self.seen.refusals_free += u64::from(least < 1.0 - MAX_RESERVED);
         }
         if self.requests[number].tries >= 2 || self.setting.way == Way::Fits {
             self.requests[number].is_done = true;
--- a/reachtally-bench/src/admission/play/collect.rs
+++ b/reachtally-bench/src/admission/play/collect.rs
@@ -91,7 +91,7 @@
             .map(|(_, engine)| engine.tokens + engine.remote_tokens)
             .sum();
         let room = self.engines.room();
-        let most = room / STAGES as f64 / self.model.usual_context();
+        let most = room / STAGES as f64 / self.model.mean_context_tokens();
         let probability = self.controllers[from].probability(
             held / room,
             most,
--- a/reachtally-bench/src/admission/play/queue.rs
+++ b/reachtally-bench/src/admission/play/queue.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use reachtally_core::forward::admission::{Class, Entrant, patience};
+use reachtally_core::forward::admission::{Class, QueuedRequest, patience};
 
 use super::{Event, PATIENCE_US, Play};
 use crate::admission::scenario::{OBJECTIVES_US, RANKS};
@@ -28,7 +28,7 @@
         let tries = request.tries;
         if request.place.is_none() {
             self.is_contended = true;
-            let entrant = Entrant {
+            let entrant = QueuedRequest {
                 service: SERVICE.into(),
                 is_resumed: false,
                 position: class.position(RANKS),
--- a/reachtally-bench/src/admission/ways.rs
+++ b/reachtally-bench/src/admission/ways.rs
@@ -4,8 +4,8 @@
 
 use reachtally_core::Instant;
 use reachtally_core::forward::admission::{
-    Booking, Bounds, Class, Conditions, Mix, Offer, Order, Pacer, Queue, REACTION, Retry, Running,
-    Schedule, Verdict, admit,
+    Bounds, Class, Conditions, Mix, Offer, OverbookingLimit, Pacer, Queue, QueuePosition, REACTION,
+    Retry, RetrySchedule, Running, Verdict, admit,
 };
 use reachtally_core::forward::budget::SharedRetryBudget;
 
@@ -69,9 +69,9 @@
     /// The rate at which it admits near the limit.
     pub pacer: Pacer,
     /// How far the room of paths is booked.
-    pub booking: Booking,
+    pub booking: OverbookingLimit,
     /// Return times of refused requests.
-    schedule: Schedule,
+    schedule: RetrySchedule,
     /// Requests that wait, by number.
     pub queue: Queue<usize>,
     /// Second sends.
@@ -89,8 +89,8 @@
             held: HELD_ASSUMED,
             mix: Mix::default(),
             pacer: Pacer::default(),
-            booking: Booking::default(),
-            schedule: Schedule::default(),
+            booking: OverbookingLimit::default(),
+            schedule: RetrySchedule::default(),
             queue: Queue::new(QUEUE_BOUNDS),
             budget: SharedRetryBudget::default(),
             offered: [0.0; CLASSES],
@@ -166,7 +166,7 @@
     /// See there.
     pub waited: Duration,
     /// Its place if it waits.
-    pub place: Option<Order>,
+    pub place: Option<QueuePosition>,
     /// Requests on the engines, as its box believes.
     pub running: Running,
     /// A number from 0 to 1.
--- a/reachtally-bench/src/choice/engines.rs
+++ b/reachtally-bench/src/choice/engines.rs
@@ -37,8 +37,8 @@
         stride: 3.0,
         chunk: 0.0,
         slots: 192,
-        usual_prompt: 774.0,
-        usual_answer: 200.0,
+        mean_prompt_tokens: 774.0,
+        mean_answer_tokens: 200.0,
         cards: [(CARD.to_owned(), card)].into(),
     }
 }
@@ -118,7 +118,7 @@
     if let Some(full) = path.iter().find(full) {
         return Err(*full);
     }
-    let read_us = model.read_ms(&card, STAGE_LAYERS, load.prompt) * 1000.0;
+    let read_us = model.prefill_ms(&card, STAGE_LAYERS, load.prompt) * 1000.0;
     let mut at = now;
     for number in path {
         let engine = &mut engines[*number];
--- a/reachtally-bench/src/choice/play.rs
+++ b/reachtally-bench/src/choice/play.rs
@@ -5,7 +5,7 @@
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use reachtally_core::forward::cost::LayerModel;
-use reachtally_core::forward::select::{self, Aim, Circumstance, Need};
+use reachtally_core::forward::select::{self, LatencyObjectives, Requirements, SelectionContext};
 
 use crate::boxes::{Exchange, SimBox, Tick};
 use crate::choice::Options;
@@ -21,7 +21,7 @@
 /// Time to the first event that is still in time, in µs.
 const OBJECTIVE_US: u64 = 500_000;
 /// What answers should keep to.
-const AIM: Aim = Aim {
+const AIM: LatencyObjectives = LatencyObjectives {
     first_ms: Some(OBJECTIVE_US as f64 / 1000.0),
     gap_ms: Some(200.0),
 };
@@ -198,21 +198,21 @@
     }
 
     fn send(&mut self, at: usize, load: Load) -> Option<engines::Times> {
-        let need = Need {
+        let need = Requirements {
             prompt: load.prompt,
             answer: load.answer,
-            aim: AIM,
+            objectives: AIM,
         };
         let draw = self.rng.random();
         let now = self.timeline.clock();
         let entrance = &self.exchange.boxes[at];
-        let cx = Circumstance {
+        let cx = SelectionContext {
             now,
             home: &entrance.domain,
             avoid: &[],
             held: HELD,
             boxes: 1,
-            unheard: 1.0,
+            load_scale: 1.0,
             draw,
             limits: select::Limits::Enforced,
         };
--- a/reachtally-bench/src/path.rs
+++ b/reachtally-bench/src/path.rs
@@ -15,7 +15,7 @@
 use reachtally_core::forward::loads::{Collector, own_report};
 use reachtally_core::forward::placement::evaluate::capacity;
 use reachtally_core::forward::placement::{Host, moves};
-use reachtally_core::forward::select::{self, Aim, Circumstance, Need};
+use reachtally_core::forward::select::{self, LatencyObjectives, Requirements, SelectionContext};
 use reachtally_core::ids::Incarnation;
 
 use crate::choice::engines::{CARD, SERVICE, domain, model};
@@ -83,7 +83,7 @@
         });
         report.add(&name("repair"), repair / 1000.0, "ms", Goal::None);
         let evaluation = mean_us(3, |_| {
-            black_box(capacity(&model, &placed, Aim::default()));
+            black_box(capacity(&model, &placed, LatencyObjectives::default()));
         });
         report.add(&name("evaluation"), evaluation / 1000.0, "ms", Goal::None);
     }
@@ -100,21 +100,21 @@
 }
 
 fn choose(fleet: &Fleet, model: &LayerModel, draw: u64) -> Option<select::Choice> {
-    let need = Need {
+    let need = Requirements {
         prompt: 774.0,
         answer: 138.0,
-        aim: Aim {
+        objectives: LatencyObjectives {
             first_ms: Some(500.0),
             gap_ms: Some(200.0),
         },
     };
-    let cx = Circumstance {
+    let cx = SelectionContext {
         now: Instant::ZERO,
         home: &domain(0),
         avoid: &[],
         held: Duration::from_secs(2),
         boxes: 1,
-        unheard: 1.0,
+        load_scale: 1.0,
         draw: draw.wrapping_mul(0x9E37_79B9_7F4A_7C15),
         limits: select::Limits::Enforced,
     };
--- a/reachtally-bench/src/placement.rs
+++ b/reachtally-bench/src/placement.rs
@@ -74,8 +74,8 @@
     add("one engine lost, mean", judged.engine.1, "1/s");
     add("a chain lost, at worst", judged.chain.0, "1/s");
     add("a chain lost, mean", judged.chain.1, "1/s");
-    add("asked and served", asked.together, "1/s");
-    add("asked and served, domains cut off", asked.apart, "1/s");
+    add("asked and served", asked.combined, "1/s");
+    add("asked and served, domains cut off", asked.isolated, "1/s");
     let simple = judge(case, &cuts::simple(case));
     add("better simple plan, whole", simple.whole, "1/s");
     add(
--- a/reachtally-bench/src/placement/cuts.rs
+++ b/reachtally-bench/src/placement/cuts.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 
 use reachtally_core::forward::cost::LayerModel;
-use reachtally_core::forward::path::MOST_PARTS;
+use reachtally_core::forward::path::MAX_PATH_PARTS;
 use reachtally_core::forward::placement::evaluate::capacity;
 use reachtally_core::forward::placement::{Host, moves};
 
@@ -38,7 +38,7 @@
 pub fn simple(case: &Case) -> Vec<Host> {
     let mut hosts = Vec::new();
     for group in groups(case) {
-        let parts = (1..=MOST_PARTS).map(|parts| equal(&case.model, &group, parts));
+        let parts = (1..=MAX_PATH_PARTS).map(|parts| equal(&case.model, &group, parts));
         let most = (group.len() / 2).clamp(1, 40);
         let chains = (1..=most).map(|chains| proportional(&case.model, &group, chains));
         let options = parts.chain(chains);
@@ -58,11 +58,11 @@
             .or_default()
             .push(host.clone());
     }
-    let kv = 12.0 * case.model.usual_context();
+    let kv = 12.0 * case.model.mean_context_tokens();
     let is_whole = |group: &Vec<Host>| {
         let most = group
             .iter()
-            .map(|host| case.model.most_layers(&host.card, kv));
+            .map(|host| case.model.max_layers(&host.card, kv));
         most.sum::<u32>() >= case.model.layers
     };
     let (mut groups, rest): (Vec<_>, Vec<_>) = by_domain.into_values().partition(is_whole);
@@ -82,7 +82,7 @@
         let part = least.unwrap_or(0);
         let layers = cut(part)..cut(part + 1);
         let room = model.kv_tokens(&host.card, layers.len() as u32);
-        if room > model.usual_context() {
+        if room > model.mean_context_tokens() {
             rooms[part] += room;
             host.layers = layers;
         }
@@ -117,15 +117,17 @@
     let model = &case.model;
     let engine = |host: &Host| {
         let each = (1..=model.layers).map(|layers| {
-            let room = model.kv_tokens(&host.card, layers) / model.usual_context();
+            let room = model.kv_tokens(&host.card, layers) / model.mean_context_tokens();
             if room <= 0.0 {
                 return 0.0;
             }
-            let share = model.share(layers);
-            let batch = (room * share).max(1.0);
+            let layer_fraction = model.layer_fraction(layers);
+            let batch = (room * layer_fraction).max(1.0);
             let step_ms = 1.5 * model.step_ms(&host.card, layers, batch) + 0.5;
-            let read_ms = 1.5 * model.read_ms(&host.card, layers, model.usual_prompt) + 0.5;
-            room * share * share * 1000.0 / (read_ms + model.usual_answer * step_ms)
+            let prefill_ms =
+                1.5 * model.prefill_ms(&host.card, layers, model.mean_prompt_tokens) + 0.5;
+            room * layer_fraction * layer_fraction * 1000.0
+                / (prefill_ms + model.mean_answer_tokens * step_ms)
         });
         each.fold(0.0, f64::max)
     };
--- a/reachtally-bench/src/placement/fleets.rs
+++ b/reachtally-bench/src/placement/fleets.rs
@@ -9,10 +9,10 @@
 use reachtally_core::forward::fleet::{Entry, EntrySource, Fleet};
 use reachtally_core::forward::placement::Host;
 use reachtally_core::forward::placement::evaluate::Demand;
-use reachtally_core::forward::select::Aim;
+use reachtally_core::forward::select::LatencyObjectives;
 
 /// The objectives of all fleets.
-pub const AIM: Aim = Aim {
+pub const AIM: LatencyObjectives = LatencyObjectives {
     first_ms: Some(500.0),
     gap_ms: Some(250.0),
 };
@@ -41,7 +41,7 @@
 }
 
 /// A model of 80 layers of 1,750 MB.
-fn model(step_ms: f64, read_per_s: f64, usual_answer: f64) -> LayerModel {
+fn model(step_ms: f64, read_per_s: f64, mean_answer_tokens: f64) -> LayerModel {
     LayerModel {
         layers: 80,
         layer_mb: 1750.0,
@@ -53,8 +53,8 @@
         stride: 3.0,
         chunk: 512.0,
         slots: 192,
-        usual_prompt: 773.0,
-        usual_answer,
+        mean_prompt_tokens: 773.0,
+        mean_answer_tokens,
         cards: [].into(),
     }
 }
@@ -138,8 +138,8 @@
 
 /// Whether all engines together hold the model with KV for a dozen requests.
 fn fits(case: &Case) -> bool {
-    let kv = 12.0 * case.model.usual_context();
-    let most = |host: &Host| case.model.most_layers(&host.card, kv);
+    let kv = 12.0 * case.model.mean_context_tokens();
+    let most = |host: &Host| case.model.max_layers(&host.card, kv);
     case.hosts.iter().map(most).sum::<u32>() >= case.model.layers
 }
 
@@ -158,8 +158,8 @@
     let of_domain = |domain: usize| Demand {
         domain: format!("domain-{domain}"),
         per_s: per_s / domains as f64,
-        prompt: model.usual_prompt,
-        answer: model.usual_answer,
+        prompt: model.mean_prompt_tokens,
+        answer: model.mean_answer_tokens,
     };
     Case {
         demand: (0..domains).map(of_domain).collect(),
--- a/reachtally-bench/src/relay/boxed.rs
+++ b/reachtally-bench/src/relay/boxed.rs
@@ -82,8 +82,8 @@
         stride: 1.0,
         chunk: 0.0,
         slots: 100_000,
-        usual_prompt: 10.0,
-        usual_answer: 10.0,
+        mean_prompt_tokens: 10.0,
+        mean_answer_tokens: 10.0,
         cards: [("card".to_owned(), card)].into(),
         ..LayerModel::default()
     };
--- a/reachtally-core/src/forward/admission/booking.rs
+++ b/reachtally-core/src/forward/admission/booking.rs
@@ -22,12 +22,12 @@
 
 /// Rate of recent sends to the engines of a service, and of those refused for lack of capacity.
 #[derive(Debug, Clone, Copy, Default)]
-pub struct Booking {
+pub struct OverbookingLimit {
     sent: Rate,
     refused: Rate,
 }
 
-impl Booking {
+impl OverbookingLimit {
     /// Records a send.
     pub fn sent(&mut self, now: Instant) {
         self.sent.count(now);
--- a/reachtally-core/src/forward/admission/mod.rs
+++ b/reachtally-core/src/forward/admission/mod.rs
@@ -20,15 +20,15 @@
 mod returns;
 mod schedule;
 
-pub use booking::Booking;
+pub use booking::OverbookingLimit;
 pub use mix::Mix;
 pub use offer::{instance_offer, no_connection_offer, path_offer};
 pub use pacer::{Pace, Pacer, Running};
-pub use queue::{Bounds, Entrant, Full, Order, Queue};
-pub use reserve::{MOST_RESERVED, reserve};
+pub use queue::{Bounds, Queue, QueueFull, QueuePosition, QueuedRequest};
+pub use reserve::{MAX_RESERVED, reserve};
 use reserve::{more_urgent_demand, required_level};
-pub use returns::Returns;
-pub use schedule::{LATEST_RETURN, Schedule};
+pub use returns::RefusedRequests;
+pub use schedule::{MAX_RETRY_AFTER, RetrySchedule};
 
 pub use crate::forward::shares::Standing;
 
@@ -37,7 +37,7 @@
 pub const REACTION: Duration = Duration::from_millis(500);
 /// Maximum fraction of a request's objective, counted from its arrival, that it waits in a box. The
 /// other half is left for its answer.
-pub const WAIT_PART: f64 = 0.5;
+pub const MAX_WAIT_FRACTION: f64 = 0.5;
 /// Time constant of the decay of past events, in ms. Rates follow a step in demand after two time
 /// constants, the time in which the system must be stable again.
 const TIME_CONSTANT_MS: u64 = 1000;
@@ -68,7 +68,7 @@
     /// Whether the caller has already received part of the answer.
     pub is_resumed: bool,
     /// Whether this box refused the request before and it is retried no earlier than announced.
-    pub is_return: bool,
+    pub is_retry: bool,
 }
 
 impl Class {
@@ -166,14 +166,14 @@
 /// Returns the maximum time from its arrival that a request with this objective is queued in a box.
 pub fn patience(objective: Duration) -> Duration {
     // `Duration::MAX` stands for no objective; half of it is still a valid duration.
-    objective.mul_f64(WAIT_PART)
+    objective.mul_f64(MAX_WAIT_FRACTION)
 }
 
 /// Returns the number of permits missing until the pacer admits a request of this class after those
 /// queued before it.
 fn missing_permits(class: Class, cx: &Conditions<'_>) -> f64 {
-    let Pace { level, kept, .. } = cx.pace;
-    (required_level(class, cx) - level) * kept + cx.ahead as f64
+    let Pace { level, burst, .. } = cx.pace;
+    (required_level(class, cx) - level) * burst + cx.ahead as f64
 }
 
 /// Returns the time until the pacer admits a request of this class, from the rate that more urgent
--- a/reachtally-core/src/forward/admission/pacer.rs
+++ b/reachtally-core/src/forward/admission/pacer.rs
@@ -49,7 +49,7 @@
     /// Requests that may be admitted per second.
     pub rate: f64,
     /// Size of the token bucket, in requests.
-    pub kept: f64,
+    pub burst: f64,
 }
 
 /// Paces the requests of a box for one service with a token bucket.
@@ -79,7 +79,7 @@
     pub fn admitted(&mut self) {
         // The lower bound is one token below the level at which the most urgent requests are
         // admitted, so that no request is admitted for less than a whole token.
-        self.tokens = (self.tokens - 1.0).max(-self.kept() - 1.0);
+        self.tokens = (self.tokens - 1.0).max(-self.burst() - 1.0);
     }
 
     /// Updates the token bucket and returns the pace at `now`, given the estimated utilization
@@ -98,26 +98,26 @@
         self.rate = (at_full_use + (1.0 - used) * capacity / reaction_s).max(0.0);
         let elapsed = now.since(self.at).as_secs_f64();
         self.at = self.at.max(now);
-        let kept = self.kept();
+        let burst = self.burst();
         // Rates vary randomly by about the square root of the count; retries of a few refused
         // requests add as much.
         let growth = (offered - ended - offered.sqrt()).max(0.0) * reaction_s / capacity;
         // Requests admitted while capacity is free do not reduce later permits.
         let is_free = used <= 1.0 - growth.min(MAX_GROWTH);
         self.tokens = match is_free {
-            true => kept,
-            false => (self.tokens + elapsed * self.rate).clamp(-kept - 1.0, kept),
+            true => burst,
+            false => (self.tokens + elapsed * self.rate).clamp(-burst - 1.0, burst),
         };
         Pace {
-            level: self.tokens / kept,
+            level: self.tokens / burst,
             demand: (offered / self.rate.max(f64::MIN_POSITIVE)).min(MAX_DEMAND),
             growth,
             rate: self.rate,
-            kept,
+            burst,
         }
     }
 
-    fn kept(&self) -> f64 {
+    fn burst(&self) -> f64 {
         1.0 + self.rate * BURST_WINDOW.as_secs_f64()
     }
 }
--- a/reachtally-core/src/forward/admission/queue.rs
+++ b/reachtally-core/src/forward/admission/queue.rs
@@ -16,7 +16,7 @@
 
 /// A request to be queued.
 #[derive(Debug, Clone)]
-pub struct Entrant {
+pub struct QueuedRequest {
     /// The service of the request.
     pub service: Arc<str>,
     /// Whether the caller has already received part of the answer.
@@ -33,7 +33,7 @@
 
 /// Position of a request in the queue; the smallest is first.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Order {
+pub struct QueuePosition {
     /// False for resumed streams, which are first.
     is_new: bool,
     position: usize,
@@ -45,13 +45,13 @@
 
 /// The queue has no place for the request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Full;
+pub struct QueueFull;
 
 /// Queued requests, each with a value `T` that wakes it.
 #[derive(Debug)]
 pub struct Queue<T> {
     bounds: Bounds,
-    entries: BTreeMap<Order, (Entrant, T)>,
+    entries: BTreeMap<QueuePosition, (QueuedRequest, T)>,
     bytes: usize,
     count: u64,
 }
@@ -72,12 +72,16 @@
     ///
     /// # Errors
     ///
-    /// Returns [`Full`] if all queued requests are ahead of it, or if evicting those behind it does
+    /// Returns [`QueueFull`] if all queued requests are ahead of it, or if evicting those behind it does
     /// not free enough space.
-    pub fn join(&mut self, entrant: Entrant, waker: T) -> Result<(Order, Vec<T>), Full> {
+    pub fn join(
+        &mut self,
+        entrant: QueuedRequest,
+        waker: T,
+    ) -> Result<(QueuePosition, Vec<T>), QueueFull> {
         let turn = self.count_like(&entrant);
         self.count += 1;
-        let order = Order {
+        let order = QueuePosition {
             is_new: !entrant.is_resumed,
             position: entrant.position,
             turn,
@@ -93,21 +97,21 @@
     }
 
     /// Removes a request and returns its waker if it was still queued.
-    pub fn leave(&mut self, order: &Order) -> Option<T> {
+    pub fn leave(&mut self, order: &QueuePosition) -> Option<T> {
         let (entrant, waker) = self.entries.remove(order)?;
         self.bytes -= entrant.bytes;
         Some(waker)
     }
 
     /// Whether a request is still queued.
-    pub fn has(&self, order: &Order) -> bool {
+    pub fn has(&self, order: &QueuePosition) -> bool {
         self.entries.contains_key(order)
     }
 
     /// Returns the number of requests for `service` ahead of `order`, or ahead of a new request
     /// with class index `position` if `order` is `None`.
-    pub fn ahead(&self, service: &str, position: usize, order: Option<&Order>) -> usize {
-        let is_ahead = |other: &Order| match order {
+    pub fn ahead(&self, service: &str, position: usize, order: Option<&QueuePosition>) -> usize {
+        let is_ahead = |other: &QueuePosition| match order {
             Some(order) => other < order,
             None => other.position <= position,
         };
@@ -118,7 +122,7 @@
 
     /// Returns the waker of the first request for `service`, only considering those behind `after`
     /// if given.
-    pub fn first(&self, service: &str, after: Option<&Order>) -> Option<&T> {
+    pub fn first(&self, service: &str, after: Option<&QueuePosition>) -> Option<&T> {
         let mut of_service = self.entries.iter().filter(|(order, (entrant, _))| {
             &*entrant.service == service && after.is_none_or(|after| *order > after)
         });
@@ -151,8 +155,8 @@
     }
 
     /// Returns the number of queued requests of the same service, class and account.
-    fn count_like(&self, entrant: &Entrant) -> usize {
-        let is_same_class = |other: &&(Entrant, T)| {
+    fn count_like(&self, entrant: &QueuedRequest) -> usize {
+        let is_same_class = |other: &&(QueuedRequest, T)| {
             let (other, _) = other;
             other.service == entrant.service
                 && other.position == entrant.position
@@ -162,14 +166,18 @@
     }
 
     /// Returns the requests behind `order` that must be evicted to make room for it.
-    fn evicted_by(&self, order: &Order, bytes: usize) -> Result<Vec<Order>, Full> {
+    fn evicted_by(
+        &self,
+        order: &QueuePosition,
+        bytes: usize,
+    ) -> Result<Vec<QueuePosition>, QueueFull> {
         let mut evicted = Vec::new();
         let (mut count, mut held) = (self.entries.len(), self.bytes);
         let mut last = self.entries.iter().rev();
         while count >= self.bounds.count || held.saturating_add(bytes) > self.bounds.bytes {
             let Some((later, (entrant, _))) = last.next().filter(|(later, _)| *later > order)
             else {
-                return Err(Full);
+                return Err(QueueFull);
             };
             evicted.push(*later);
             count -= 1;
--- a/reachtally-core/src/forward/admission/reserve.rs
+++ b/reachtally-core/src/forward/admission/reserve.rs
@@ -4,14 +4,14 @@
 
 /// Maximum fraction of the capacity reserved for more urgent requests. A higher limit would waste
 /// capacity when most of the load is less urgent.
-pub const MOST_RESERVED: f64 = 0.3;
+pub const MAX_RESERVED: f64 = 0.3;
 
 /// Returns the fraction of the capacity that more urgent requests occupy within the reaction time,
 /// before this box learns of those admitted elsewhere. 0 for the most urgent class, or if no more
 /// urgent request arrived recently.
 pub fn reserve(class: Class, cx: &Conditions<'_>) -> f64 {
     let renewed = cx.reaction.as_secs_f64() / cx.duration_s();
-    (renewed * more_urgent_fraction(class, cx)).min(MOST_RESERVED)
+    (renewed * more_urgent_fraction(class, cx)).min(MAX_RESERVED)
 }
 
 /// Returns the level of [`Pace`](super::Pace) from which a request of this class is admitted near
@@ -47,7 +47,7 @@
         each.map(clamp_fraction).sum::<f64>().min(1.0)
     };
     // An account that floods beyond its share gains nothing by retrying.
-    match class.is_return && class.standing == Standing::Within {
+    match class.is_retry && class.standing == Standing::Within {
         true => (before(position) + before(position.saturating_sub(1))) / 2.0,
         false => before(position),
     }
--- a/reachtally-core/src/forward/admission/returns.rs
+++ b/reachtally-core/src/forward/admission/returns.rs
@@ -15,14 +15,14 @@
 
 /// Refused requests, each with the time from which it may be retried.
 #[derive(Debug, Default)]
-pub struct Returns {
+pub struct RefusedRequests {
     by_request: HashMap<Fingerprint, (Instant, u64)>,
     /// The same requests by expiry time.
     by_expiry: BTreeMap<(Instant, u64), Fingerprint>,
     count: u64,
 }
 
-impl Returns {
+impl RefusedRequests {
     /// Records that the caller of a request was retry to retry at `at`.
     pub fn tell(&mut self, request: Fingerprint, at: Instant, now: Instant) {
         self.remove_expired(now);
--- a/reachtally-core/src/forward/cost.rs
+++ b/reachtally-core/src/forward/cost.rs
@@ -46,23 +46,23 @@
     /// Maximum number of concurrent requests of the first engine of a chain.
     pub slots: u32,
     /// Mean prompt length in tokens.
-    pub usual_prompt: f64,
+    pub mean_prompt_tokens: f64,
     /// Mean answer length in tokens.
-    pub usual_answer: f64,
+    pub mean_answer_tokens: f64,
     /// Card types by name.
     pub cards: BTreeMap<String, Card>,
 }
 
 impl LayerModel {
     /// Returns the fraction of the model that `layers` layers make up.
-    pub fn share(&self, layers: u32) -> f64 {
+    pub fn layer_fraction(&self, layers: u32) -> f64 {
         f64::from(layers) / f64::from(self.layers.max(1))
     }
 
     /// Returns the KV cache capacity, in tokens, that a card has beside `layers` layers.
     pub fn kv_tokens(&self, card: &Card, layers: u32) -> f64 {
         let free_mb = card.memory_mb - f64::from(layers) * self.layer_mb;
-        let token_mb = self.kv_token_mb * self.share(layers);
+        let token_mb = self.kv_token_mb * self.layer_fraction(layers);
         if token_mb <= 0.0 {
             0.0
         } else {
@@ -71,7 +71,7 @@
     }
 
     /// Returns the maximum number of layers that a card holds beside the KV cache of `kv` tokens.
-    pub fn most_layers(&self, card: &Card, kv: f64) -> u32 {
+    pub fn max_layers(&self, card: &Card, kv: f64) -> u32 {
         let layer_token_mb = self.kv_token_mb / f64::from(self.layers.max(1));
         let max_layers = card.memory_mb / (self.layer_mb + kv * layer_token_mb);
         (max_layers.floor() as u32).min(self.layers)
@@ -80,25 +80,26 @@
     /// Returns the time of one decode step over `layers` layers for a batch of `running` requests,
     /// in ms.
     pub fn step_ms(&self, card: &Card, layers: u32, running: f64) -> f64 {
-        let context = running * self.usual_context() / 1000.0 * self.context_ms_per_k;
+        let context = running * self.mean_context_tokens() / 1000.0 * self.context_ms_per_k;
         let steps = (self.step_ms + context) * card.step_factor;
         let per_request = running * self.per_seq_ms * card.read_factor;
-        self.share(layers) * (steps + per_request)
+        self.layer_fraction(layers) * (steps + per_request)
     }
 
     /// Returns the time to prefill `tokens` prompt tokens through `layers` layers, in ms.
-    pub fn read_ms(&self, card: &Card, layers: u32, tokens: f64) -> f64 {
+    pub fn prefill_ms(&self, card: &Card, layers: u32, tokens: f64) -> f64 {
         if self.read_per_s <= 0.0 {
             return 0.0;
         }
-        self.share(layers) * tokens * 1000.0 / self.read_per_s * card.read_factor
+        self.layer_fraction(layers) * tokens * 1000.0 / self.read_per_s * card.read_factor
     }
 
     /// Returns the factor by which the prefill of `rate` prompts per second slows down an engine of
     /// `layers` layers. If the number of prompt tokens per pass is limited, decode steps wait for
     /// at most that many.
-    pub fn reading_slowdown(&self, card: &Card, layers: u32, rate: f64) -> f64 {
-        let prefill_fraction = rate * self.read_ms(card, layers, self.usual_prompt) / 1000.0;
+    pub fn prefill_slowdown(&self, card: &Card, layers: u32, rate: f64) -> f64 {
+        let prefill_fraction =
+            rate * self.prefill_ms(card, layers, self.mean_prompt_tokens) / 1000.0;
         let max_fraction = MAX_PREFILL_FRACTION.min(self.chunk_time_fraction(card, layers));
         1.0 / (1.0 - prefill_fraction.min(max_fraction))
     }
@@ -106,10 +107,10 @@
     /// Returns the fraction of a pass that prefilling a full chunk takes beside the decode steps of
     /// one request.
     fn chunk_time_fraction(&self, card: &Card, layers: u32) -> f64 {
-        let read_ms = self.read_ms(card, layers, self.chunk);
-        let pass_ms = read_ms + self.stride.max(1.0) * self.step_ms(card, layers, 1.0);
-        match read_ms > 0.0 && pass_ms > 0.0 {
-            true => read_ms / pass_ms,
+        let prefill_ms = self.prefill_ms(card, layers, self.chunk);
+        let pass_ms = prefill_ms + self.stride.max(1.0) * self.step_ms(card, layers, 1.0);
+        match prefill_ms > 0.0 && pass_ms > 0.0 {
+            true => prefill_ms / pass_ms,
             false => 1.0,
         }
     }
@@ -117,7 +118,7 @@
     /// Returns the maximum number of prompt tokens per second that an engine of `layers` layers can
     /// prefill if each of its passes also runs decode steps for `running` requests. Infinite if
     /// prefill takes no time.
-    pub fn most_read_per_s(&self, card: &Card, layers: u32, running: f64) -> f64 {
+    pub fn max_prefill_per_s(&self, card: &Card, layers: u32, running: f64) -> f64 {
         let (tokens, decode_ms) = match self.chunk > 0.0 {
             true => (
                 self.chunk,
@@ -125,12 +126,12 @@
             ),
             false => (1.0, 0.0),
         };
-        tokens * 1000.0 / (self.read_ms(card, layers, tokens) + decode_ms)
+        tokens * 1000.0 / (self.prefill_ms(card, layers, tokens) + decode_ms)
     }
 
     /// Returns the mean number of tokens that a request occupies in the KV cache while it runs.
-    pub fn usual_context(&self) -> f64 {
-        self.usual_prompt + self.usual_answer / 2.0
+    pub fn mean_context_tokens(&self) -> f64 {
+        self.mean_prompt_tokens + self.mean_answer_tokens / 2.0
     }
 }
 
--- a/reachtally-core/src/forward/path.rs
+++ b/reachtally-core/src/forward/path.rs
@@ -6,7 +6,7 @@
 use crate::forward::fleet::EngineKey;
 
 /// Maximum number of parts that engines accept in a path.
-pub const MOST_PARTS: usize = 32;
+pub const MAX_PATH_PARTS: usize = 32;
 
 /// The part of a path that one engine runs.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -21,13 +21,13 @@
 
 /// Why a list of parts is not a valid path.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum NotAPath {
+pub enum PathError {
     /// The list is empty.
     Empty,
     /// There are more parts than engines accept.
     TooLong,
     /// A part is empty or does not start where the previous one ended.
-    Broken {
+    Discontinuous {
         /// The expected first layer of the part.
         at: u32,
     },
@@ -37,7 +37,7 @@
         end: u32,
     },
     /// An engine occurs more than once.
-    Repeated,
+    DuplicateEngine,
 }
 
 /// Engines that together run each layer of a model once, in order.
@@ -52,28 +52,28 @@
     /// # Errors
     ///
     /// Returns the first violation found.
-    pub fn prove(parts: Vec<Part>, layers: u32) -> Result<Path, NotAPath> {
+    pub fn try_new(parts: Vec<Part>, layers: u32) -> Result<Path, PathError> {
         if parts.is_empty() {
-            return Err(NotAPath::Empty);
+            return Err(PathError::Empty);
         }
-        if parts.len() > MOST_PARTS {
-            return Err(NotAPath::TooLong);
+        if parts.len() > MAX_PATH_PARTS {
+            return Err(PathError::TooLong);
         }
         let mut at = 0;
         for (index, part) in parts.iter().enumerate() {
             if part.layers.start != at || part.layers.is_empty() {
-                return Err(NotAPath::Broken { at });
+                return Err(PathError::Discontinuous { at });
             }
             if parts[..index]
                 .iter()
                 .any(|other| other.engine == part.engine)
             {
-                return Err(NotAPath::Repeated);
+                return Err(PathError::DuplicateEngine);
             }
             at = part.layers.end;
         }
         if at != layers {
-            return Err(NotAPath::Incomplete { end: at });
+            return Err(PathError::Incomplete { end: at });
         }
         Ok(Path { parts })
     }
--- a/reachtally-core/src/forward/placement/chains.rs
+++ b/reachtally-core/src/forward/placement/chains.rs
@@ -46,7 +46,7 @@
     let mut best: (f64, Vec<Vec<Assigned<'_>>>) = (0.0, Vec::new());
     let mut requests = MIN_REQUESTS;
     while requests <= MAX_REQUESTS {
-        let chains = chains(model, &hosts, requests * model.usual_context());
+        let chains = chains(model, &hosts, requests * model.mean_context_tokens());
         let value = value(model, &chains);
         if value > best.0 {
             best = (value, chains);
@@ -66,7 +66,7 @@
     let mut chain = Vec::new();
     let mut start = 0;
     for host in hosts {
-        let max_layers = model.most_layers(&host.card, kv);
+        let max_layers = model.max_layers(&host.card, kv);
         let end = (start + max_layers).min(model.layers);
         if end == start {
             continue;
@@ -104,7 +104,7 @@
 /// since engines prefill prompts between decode steps.
 fn chain_value(model: &LayerModel, chain: &[Assigned<'_>]) -> f64 {
     let concurrency =
-        (min_kv_tokens(model, chain) / model.usual_context()).min(f64::from(model.slots));
+        (min_kv_tokens(model, chain) / model.mean_context_tokens()).min(f64::from(model.slots));
     let batch = (concurrency / chain.len() as f64).max(1.0);
     let mut throughput = 0.0;
     let mut duration_ms = 1.0;
@@ -126,9 +126,9 @@
     let parts = chain.iter().map(|(host, assigned)| {
         let layers = assigned.layers.len() as u32;
         let step_ms = model.step_ms(&host.card, layers, batch);
-        let read_ms = model.read_ms(&host.card, layers, model.usual_prompt);
-        let busy = model.reading_slowdown(&host.card, layers, throughput) * WAIT_FACTOR;
-        busy * (read_ms + model.usual_answer * step_ms) + model.usual_answer * HOP_MS
+        let prefill_ms = model.prefill_ms(&host.card, layers, model.mean_prompt_tokens);
+        let busy = model.prefill_slowdown(&host.card, layers, throughput) * WAIT_FACTOR;
+        busy * (prefill_ms + model.mean_answer_tokens * step_ms) + model.mean_answer_tokens * HOP_MS
     });
     parts.sum()
 }
--- a/reachtally-core/src/forward/placement/evaluate.rs
+++ b/reachtally-core/src/forward/placement/evaluate.rs
@@ -16,7 +16,7 @@
 use std::collections::BTreeSet;
 
 use crate::forward::cost::LayerModel;
-use crate::forward::select::Aim;
+use crate::forward::select::LatencyObjectives;
 
 use super::Host;
 use fill::PathFiller;
@@ -40,14 +40,19 @@
     /// Maximum that the engines could serve.
     pub capacity: f64,
     /// Part of the demand that all failure domains serve in total.
-    pub together: f64,
+    pub combined: f64,
     /// Part of the demand that is served if the failure domains are isolated from each other.
-    pub apart: f64,
+    pub isolated: f64,
 }
 
 /// Returns how much of a demand a fleet serves. Requests are assumed to have the mean size of the
 /// demand.
-pub fn served(model: &LayerModel, hosts: &[Host], demand: &[Demand], aim: Aim) -> Served {
+pub fn served(
+    model: &LayerModel,
+    hosts: &[Host],
+    demand: &[Demand],
+    objectives: LatencyObjectives,
+) -> Served {
     let model = with_mean_size(model, demand);
     let demanded = |domain: Option<&str>| -> f64 {
         let of = demand
@@ -55,31 +60,31 @@
             .filter(|each| domain.is_none_or(|name| each.domain == name));
         of.map(|each| each.per_s.max(0.0)).sum()
     };
-    let capacity = capacity(&model, hosts, aim);
+    let capacity = capacity(&model, hosts, objectives);
     let mut domains: Vec<&str> = demand.iter().map(|each| &*each.domain).collect();
     domains.sort_unstable();
     domains.dedup();
-    let apart = domains.iter().map(|domain| {
+    let isolated = domains.iter().map(|domain| {
         let own = hosts.iter().filter(|host| &*host.domain == *domain);
         let own: Vec<Host> = own.cloned().collect();
-        self::capacity(&model, &own, aim).min(demanded(Some(domain)))
+        self::capacity(&model, &own, objectives).min(demanded(Some(domain)))
     });
     Served {
         capacity,
-        together: capacity.min(demanded(None)),
-        apart: apart.sum(),
+        combined: capacity.min(demanded(None)),
+        isolated: isolated.sum(),
     }
 }
 
 /// Returns the maximum number of requests per second, of the model's mean size, that the engines
 /// serve within the latency objectives; 0 if no engine holds some layer.
-pub fn capacity(model: &LayerModel, hosts: &[Host], aim: Aim) -> f64 {
-    flows(model, hosts, aim).per_s
+pub fn capacity(model: &LayerModel, hosts: &[Host], objectives: LatencyObjectives) -> f64 {
+    flows(model, hosts, objectives).per_s
 }
 
 /// Returns the throughput of the engines when they serve [`capacity`].
-pub fn flows(model: &LayerModel, hosts: &[Host], aim: Aim) -> Flows {
-    let best = PathFiller::of(model, hosts, aim).fill();
+pub fn flows(model: &LayerModel, hosts: &[Host], objectives: LatencyObjectives) -> Flows {
+    let best = PathFiller::of(model, hosts, objectives).fill();
     let mut by_engine = vec![0.0; hosts.len()];
     for (engines, per_s) in &best.paths {
         engines
@@ -124,9 +129,13 @@
 
 /// Returns the chains that [`capacity`] fills, as indices in `hosts`. Each engine is in at most one
 /// chain.
-pub fn chains(model: &LayerModel, hosts: &[Host], aim: Aim) -> Vec<Vec<usize>> {
+pub fn chains(
+    model: &LayerModel,
+    hosts: &[Host],
+    objectives: LatencyObjectives,
+) -> Vec<Vec<usize>> {
     let mut seen = vec![false; hosts.len()];
-    let paths = PathFiller::of(model, hosts, aim).fill().paths;
+    let paths = PathFiller::of(model, hosts, objectives).fill().paths;
     let mut chains: Vec<Vec<usize>> = paths.into_iter().map(|path| path.0).collect();
     chains.retain(|chain| {
         let is_new = chain.iter().all(|index| !seen[*index]);
@@ -149,8 +158,8 @@
         weighted.sum::<f64>() / total
     };
     LayerModel {
-        usual_prompt: mean(|each| each.prompt),
-        usual_answer: mean(|each| each.answer),
+        mean_prompt_tokens: mean(|each| each.prompt),
+        mean_answer_tokens: mean(|each| each.answer),
         ..model.clone()
     }
 }
--- a/reachtally-core/src/forward/placement/evaluate/fill.rs
+++ b/reachtally-core/src/forward/placement/evaluate/fill.rs
@@ -1,9 +1,9 @@
 //! Fills paths over engines one after the other.
 
 use crate::forward::cost::{LayerModel, WAIT_FACTOR};
-use crate::forward::path::MOST_PARTS;
+use crate::forward::path::MAX_PATH_PARTS;
 use crate::forward::placement::Host;
-use crate::forward::select::{Aim, HOP_MS, REMOTE_HOP_MS};
+use crate::forward::select::{HOP_MS, LatencyObjectives, REMOTE_HOP_MS};
 
 /// Bounds on the concurrent requests of an engine that are tried, relative to the slots of the
 /// first engines.
@@ -51,7 +51,7 @@
 /// Fills the engines that hold layers.
 pub(super) struct PathFiller<'a> {
     model: &'a LayerModel,
-    aim: Aim,
+    objectives: LatencyObjectives,
     /// Hosts with their indices in the input.
     engines: Vec<(usize, &'a Host)>,
     /// Indices in `engines` of each failure domain.
@@ -105,7 +105,7 @@
 }
 
 impl<'a> PathFiller<'a> {
-    pub fn of(model: &'a LayerModel, hosts: &'a [Host], aim: Aim) -> Self {
+    pub fn of(model: &'a LayerModel, hosts: &'a [Host], objectives: LatencyObjectives) -> Self {
         let holds = |host: &Host| !host.layers.is_empty() && host.layers.end <= model.layers;
         let engines: Vec<(usize, &Host)> = hosts
             .iter()
@@ -128,7 +128,7 @@
         }
         PathFiller {
             model,
-            aim,
+            objectives,
             domains,
             engines,
             slots,
@@ -194,12 +194,13 @@
             0 => (self.slots[engine] * bound).min(slots(self.model)),
             _ => self.slots[engine] * bound,
         };
-        let room = self.model.kv_tokens(&host.card, layers) / self.model.usual_context().max(1.0);
+        let room =
+            self.model.kv_tokens(&host.card, layers) / self.model.mean_context_tokens().max(1.0);
         let batch = self.batch(host, load);
-        let read_per_s = self.model.most_read_per_s(&host.card, layers, batch);
+        let read_per_s = self.model.max_prefill_per_s(&host.card, layers, batch);
         State {
             concurrency: room.min(load),
-            per_s: read_per_s / self.model.usual_prompt.max(1.0),
+            per_s: read_per_s / self.model.mean_prompt_tokens.max(1.0),
             load,
         }
     }
@@ -207,19 +208,19 @@
     /// Returns the batch size of an engine when `load` requests are spread over the engines of a
     /// path.
     fn batch(&self, host: &Host, load: f64) -> f64 {
-        (load * self.model.share(host.layers.len() as u32)).max(1.0)
+        (load * self.model.layer_fraction(host.layers.len() as u32)).max(1.0)
     }
 
     /// Returns the time per layer that an engine spends on a request of mean size, in ms.
     fn layer_ms(&self, engine: usize, state: &State) -> f64 {
         let host = self.engines[engine].1;
         let layers = host.layers.len() as u32;
-        let read_ms = self
+        let prefill_ms = self
             .model
-            .read_ms(&host.card, layers, self.model.usual_prompt);
+            .prefill_ms(&host.card, layers, self.model.mean_prompt_tokens);
         let batch = self.batch(host, state.load);
         let step_ms = self.model.step_ms(&host.card, layers, batch);
-        WAIT_FACTOR * (read_ms + self.model.usual_answer * step_ms) / f64::from(layers)
+        WAIT_FACTOR * (prefill_ms + self.model.mean_answer_tokens * step_ms) / f64::from(layers)
     }
 
     /// Adds paths over a group of engines until none has capacity or the cheapest misses the
@@ -279,8 +280,11 @@
             times = self.times(path, states, times.duration);
         }
         let gap_ms = times.token * self.model.stride.max(1.0);
-        let is_late = self.aim.first_ms.is_some_and(|limit| times.first > limit)
-            || self.aim.gap_ms.is_some_and(|limit| gap_ms > limit);
+        let is_late = self
+            .objectives
+            .first_ms
+            .is_some_and(|limit| times.first > limit)
+            || self.objectives.gap_ms.is_some_and(|limit| gap_ms > limit);
         let room = min_of(|state| state.concurrency);
         let per_s = f64::min(room * 1000.0 / times.duration, min_of(|state| state.per_s));
         (!is_late).then_some((per_s * times.duration / 1000.0, per_s))
@@ -296,17 +300,17 @@
             let layers = host.layers.len() as u32;
             let slowdown =
                 self.model
-                    .reading_slowdown(&host.card, layers, load * 1000.0 / duration);
+                    .prefill_slowdown(&host.card, layers, load * 1000.0 / duration);
             let busy = WAIT_FACTOR * slowdown;
-            let prompt = self.model.usual_prompt;
+            let prompt = self.model.mean_prompt_tokens;
             let step_ms = self
                 .model
                 .step_ms(&host.card, part.layers, self.batch(host, load));
-            read += busy * self.model.read_ms(&host.card, part.layers, prompt) + path.hop_ms;
+            read += busy * self.model.prefill_ms(&host.card, part.layers, prompt) + path.hop_ms;
             token += busy * step_ms + path.hop_ms;
         }
         PathTimes {
-            duration: (read + self.model.usual_answer * token).max(f64::MIN_POSITIVE),
+            duration: (read + self.model.mean_answer_tokens * token).max(f64::MIN_POSITIVE),
             first: read + token,
             token,
         }
@@ -320,14 +324,14 @@
         cost: CostBasis,
     ) -> Option<Vec<Part>> {
         let mut paths: Vec<Option<PartialPath>> = vec![None; holders.len() + 1];
-        let hops_ms = (self.model.usual_answer + 1.0) * hop_ms;
+        let hops_ms = (self.model.mean_answer_tokens + 1.0) * hop_ms;
         for (at, holders_here) in holders.iter().enumerate() {
             let (cost_so_far, parts) = match (at, paths[at]) {
                 (0, _) => (0.0, 0),
                 (_, Some(path)) => (path.cost, path.parts),
                 (_, None) => continue,
             };
-            if parts == MOST_PARTS {
+            if parts == MAX_PATH_PARTS {
                 continue;
             }
             for (engine, layer_ms) in holders_here {
--- a/reachtally-core/src/forward/placement/mod.rs
+++ b/reachtally-core/src/forward/placement/mod.rs
@@ -91,11 +91,11 @@
             .or_default()
             .push(host.clone());
     }
-    let min_kv = MIN_REQUESTS * model.usual_context();
+    let min_kv = MIN_REQUESTS * model.mean_context_tokens();
     let holds_model = |group: &Vec<Host>| {
         let layers: u32 = group
             .iter()
-            .map(|host| model.most_layers(&host.card, min_kv))
+            .map(|host| model.max_layers(&host.card, min_kv))
             .sum();
         layers >= model.layers
     };
@@ -130,7 +130,7 @@
 fn required_capacity(model: &LayerModel, group: &[Host], reference: f64) -> f64 {
     let mut in_use = vec![0.0; model.layers as usize];
     for host in group {
-        let tokens = host.running * model.usual_context();
+        let tokens = host.running * model.mean_context_tokens();
         for layer in host.layers.clone() {
             if let Some(held) = in_use.get_mut(layer as usize) {
                 *held += tokens;
--- a/reachtally-core/src/forward/placement/repair.rs
+++ b/reachtally-core/src/forward/placement/repair.rs
@@ -118,7 +118,7 @@
         let retained = layers.clone().filter(holds).count();
         let released = host.layers.len() - retained;
         let loaded = layers.len() - retained;
-        let in_use = host.running * self.model.usual_context();
+        let in_use = host.running * self.model.mean_context_tokens();
         released as f64 * in_use + loaded as f64 * self.tokens * LOAD_COST
     }
 
@@ -141,8 +141,8 @@
     host: &Host,
     capacity: &LayerCapacity,
 ) -> impl Iterator<Item = Layers> {
-    let min_kv = MIN_REQUESTS * model.usual_context();
-    let max = model.most_layers(&host.card, min_kv);
+    let min_kv = MIN_REQUESTS * model.mean_context_tokens();
+    let max = model.max_layers(&host.card, min_kv);
     let end = model.layers;
     let starts = capacity.range_starts(&host.layers).into_iter();
     starts.flat_map(move |start| (1..=max.min(end - start)).map(move |count| start..start + count))
--- a/reachtally-core/src/forward/select/back_off.rs
+++ b/reachtally-core/src/forward/select/back_off.rs
@@ -11,7 +11,7 @@
 
 /// Returns the earliest end of a back-off at which a request for `service` can be served, according
 /// to `can_serve`. Returns `None` if the request is not blocked by back-off.
-pub fn served_after_back_off(
+pub fn earliest_after_back_off(
     fleet: &Fleet,
     service: &str,
     now: Instant,
--- a/reachtally-core/src/forward/select/candidate.rs
+++ b/reachtally-core/src/forward/select/candidate.rs
@@ -2,7 +2,7 @@
 
 use slotmap::Key;
 
-use super::{Circumstance, Need};
+use super::{Requirements, SelectionContext};
 use crate::forward::cost::{LayerModel, Layers, WAIT_FACTOR};
 use crate::forward::fleet::{Engine, EngineKey};
 
@@ -61,7 +61,7 @@
     pub slot_utilization: f64,
     pub token_ms: f64,
     /// Prefill time of the request's own prompt.
-    pub read_ms: f64,
+    pub prefill_ms: f64,
     /// Prefill time of the prompts queued at the engine.
     pub wait_ms: f64,
     /// Queueing time at the engine if it is the first of the path, independent of the number of
@@ -78,8 +78,8 @@
         key: EngineKey,
         engine: &'a Engine,
         model: &LayerModel,
-        need: Need,
-        cx: &Circumstance<'_>,
+        need: Requirements,
+        cx: &SelectionContext<'_>,
     ) -> Option<Self> {
         let (candidate, fits) = Candidate::estimate(key, engine, model, need, cx)?;
         fits.then_some(candidate)
@@ -92,8 +92,8 @@
         engine: &'a Engine,
         layers: Layers,
         model: &LayerModel,
-        need: Need,
-        cx: &Circumstance<'_>,
+        need: Requirements,
+        cx: &SelectionContext<'_>,
     ) -> Option<Self> {
         let (candidate, _) = Candidate::estimate(key, engine, model, need, cx)?;
         Some(Candidate {
@@ -102,7 +102,7 @@
             accepts_requests: true,
             price: 0.0,
             utilization: 0.0,
-            read_ms: 0.0,
+            prefill_ms: 0.0,
             wait_ms: 0.0,
             queue_ms: 0.0,
             capacity_wait_ms: 0.0,
@@ -115,8 +115,8 @@
         key: EngineKey,
         engine: &'a Engine,
         model: &LayerModel,
-        need: Need,
-        cx: &Circumstance<'_>,
+        need: Requirements,
+        cx: &SelectionContext<'_>,
     ) -> Option<(Self, bool)> {
         let card = model.cards.get(&**engine.entry.card.as_ref()?)?;
         let layers = engine.entry.layers.len() as u32;
@@ -130,13 +130,13 @@
         let fits = need.held() <= capacity && tokens <= MAX_KV_UTILIZATION * capacity;
         let layer_count = f64::from(layers);
         // The requests of a chain are spread over its engines.
-        let batch = running * model.share(layers) + 1.0;
+        let batch = running * model.layer_fraction(layers) + 1.0;
         let rate = running / cx.held.as_secs_f64();
         let slowdown =
-            model.reading_slowdown(card, layers, rate) * WAIT_FACTOR * engine.slowdown(cx.now);
+            model.prefill_slowdown(card, layers, rate) * WAIT_FACTOR * engine.slowdown(cx.now);
         let slots = MAX_SLOT_UTILIZATION * f64::from(engine.entry.slots.max(1));
         let slot_load = running / slots;
-        let assumed = (occupied * cx.unheard + need.held()) / capacity;
+        let assumed = (occupied * cx.load_scale + need.held()) / capacity;
         let kv_utilization = tokens / capacity;
         let utilization = assumed
             .min(MAX_ASSUMED_UTILIZATION)
@@ -148,7 +148,7 @@
         let capacity_wait_ms = shortfall * cx.held.as_secs_f64() * 1000.0;
         let weight = (FULL_WEIGHT_BOXES / f64::from(cx.boxes.max(1))).min(1.0);
         let occupancy =
-            (need.held() / capacity).powf(weight) * model.share(layers).powf(1.0 - weight);
+            (need.held() / capacity).powf(weight) * model.layer_fraction(layers).powf(1.0 - weight);
         let has_slot = running < MAX_SLOT_UTILIZATION * f64::from(engine.entry.slots);
         let jitter = 1.0 + MAX_PRICE_JITTER * unit_hash(cx.draw, key);
         let candidate = Candidate {
@@ -162,8 +162,8 @@
             kv_utilization,
             slot_utilization: (running + 1.0) / slots,
             token_ms: slowdown * model.step_ms(card, layers, batch) / layer_count,
-            read_ms: slowdown * model.read_ms(card, layers, need.prompt) / layer_count,
-            wait_ms: slowdown * model.read_ms(card, layers, queued) / layer_count,
+            prefill_ms: slowdown * model.prefill_ms(card, layers, need.prompt) / layer_count,
+            wait_ms: slowdown * model.prefill_ms(card, layers, queued) / layer_count,
             queue_ms: queue_ms(engine, running, cx).unwrap_or(capacity_wait_ms),
             capacity_wait_ms,
         };
@@ -173,7 +173,7 @@
 
 /// Estimates the queueing time at an engine that announced its queue length recently: as many
 /// requests finish in a mean duration as are running.
-fn queue_ms(engine: &Engine, running: f64, cx: &Circumstance<'_>) -> Option<f64> {
+fn queue_ms(engine: &Engine, running: f64, cx: &SelectionContext<'_>) -> Option<f64> {
     let waiting = f64::from(engine.queues.waiting(cx.now)?);
     let admitted = (running - waiting).max(MIN_ADMITTED);
     Some(waiting / admitted * cx.held.as_secs_f64() * 1000.0)
--- a/reachtally-core/src/forward/select/judge.rs
+++ b/reachtally-core/src/forward/select/judge.rs
@@ -6,7 +6,7 @@
 //! This makes a fast but full engine expensive, and accounts for the long occupancy of all engines
 //! in a slow chain.
 
-use super::Aim;
+use super::LatencyObjectives;
 use super::candidate::Candidate;
 use super::ways::{FoundPath, LayerGraph, PathTotals, Weights, cheapest};
 use crate::forward::cost::LayerModel;
@@ -26,9 +26,9 @@
 pub(super) fn meets_objectives_with_margin(
     totals: &PathTotals,
     model: &LayerModel,
-    aim: Aim,
+    objectives: LatencyObjectives,
 ) -> bool {
-    let score = PathScore::new(totals, model, aim);
+    let score = PathScore::new(totals, model, objectives);
     score.first_fraction <= MARGIN_FRACTION && score.gap_fraction <= MARGIN_FRACTION
 }
 
@@ -54,13 +54,13 @@
 }
 
 impl PathScore {
-    fn new(totals: &PathTotals, model: &LayerModel, aim: Aim) -> Self {
+    fn new(totals: &PathTotals, model: &LayerModel, objectives: LatencyObjectives) -> Self {
         let fraction = |ms: f64, limit: Option<f64>| limit.map_or(0.0, |limit| ms / limit.max(1.0));
         PathScore {
             price: totals.price,
-            duration_ms: totals.ranking_first_ms() + model.usual_answer * totals.token_ms,
-            first_fraction: fraction(totals.ranking_first_ms(), aim.first_ms),
-            gap_fraction: fraction(totals.token_ms * model.stride.max(1.0), aim.gap_ms),
+            duration_ms: totals.ranking_first_ms() + model.mean_answer_tokens * totals.token_ms,
+            first_fraction: fraction(totals.ranking_first_ms(), objectives.first_ms),
+            gap_fraction: fraction(totals.token_ms * model.stride.max(1.0), objectives.gap_ms),
         }
     }
 
@@ -74,17 +74,17 @@
     }
 
     /// Linearizes the cost around these values, so that the contributions of the engines add up.
-    fn weights(&self, model: &LayerModel, aim: Aim) -> Weights {
+    fn weights(&self, model: &LayerModel, objectives: LatencyObjectives) -> Weights {
         let miss_cost = MISS_PENALTY / self.miss_factor();
         let slope = |fraction: f64, limit: Option<f64>| {
             limit.map_or(0.0, |most| miss_cost * miss_slope(fraction) / most.max(1.0))
         };
         let duration = 1.0 / self.duration_ms.max(f64::MIN_POSITIVE);
-        let gap = slope(self.gap_fraction, aim.gap_ms) * model.stride.max(1.0);
+        let gap = slope(self.gap_fraction, objectives.gap_ms) * model.stride.max(1.0);
         Weights {
             price: 1.0 / self.price.max(f64::MIN_POSITIVE),
-            token: duration * model.usual_answer + gap,
-            first: duration + slope(self.first_fraction, aim.first_ms),
+            token: duration * model.mean_answer_tokens + gap,
+            first: duration + slope(self.first_fraction, objectives.first_ms),
         }
     }
 }
@@ -94,7 +94,7 @@
     candidates: &[Candidate<'_>],
     model: &LayerModel,
     hop_ms: f64,
-    aim: Aim,
+    objectives: LatencyObjectives,
 ) -> Option<(f64, FoundPath)> {
     let graph = LayerGraph::new(candidates, model);
     let mut best: Option<(f64, FoundPath)> = None;
@@ -102,9 +102,9 @@
         let mut weights = start;
         for _ in 0..ITERATIONS {
             let found = cheapest(&graph, hop_ms, weights)?;
-            let score = PathScore::new(&found.totals, model, aim);
+            let score = PathScore::new(&found.totals, model, objectives);
             let cost = score.cost();
-            weights = score.weights(model, aim);
+            weights = score.weights(model, objectives);
             if best.as_ref().is_some_and(|(lowest, _)| *lowest <= cost) {
                 continue;
             }
--- a/reachtally-core/src/forward/select/mod.rs
+++ b/reachtally-core/src/forward/select/mod.rs
@@ -12,13 +12,13 @@
 mod back_off;
 mod candidate;
 mod judge;
+mod no_path_reasons;
 mod repair;
-mod shortage;
 mod ways;
 
-pub use back_off::served_after_back_off;
+pub use back_off::earliest_after_back_off;
+pub use no_path_reasons::{NoPathReasons, no_path_reasons};
 pub use repair::repair;
-pub use shortage::{Shortage, shortage};
 
 use candidate::{Candidate, unit_hash};
 use judge::{best_path, meets_objectives_with_margin};
@@ -50,7 +50,7 @@
 
 /// Latency objectives of an answer, in ms.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
-pub struct Aim {
+pub struct LatencyObjectives {
     /// Time to the first event.
     pub first_ms: Option<f64>,
     /// Time between two events.
@@ -59,16 +59,16 @@
 
 /// Resource requirements and latency objectives of a request.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Need {
+pub struct Requirements {
     /// Prompt tokens.
     pub prompt: f64,
     /// Expected answer tokens.
     pub answer: f64,
     /// Latency objectives of its answer.
-    pub aim: Aim,
+    pub objectives: LatencyObjectives,
 }
 
-impl Need {
+impl Requirements {
     /// Mean number of KV tokens that the request occupies while it runs, since its answer grows
     /// from zero. Many requests at different points of their answers occupy the sum of these means,
     /// not of their final sizes.
@@ -88,7 +88,7 @@
 
 /// Inputs of a selection other than the fleet.
 #[derive(Debug, Clone, Copy)]
-pub struct Circumstance<'a> {
+pub struct SelectionContext<'a> {
     /// The current time.
     pub now: Instant,
     /// The failure domain of this box.
@@ -101,7 +101,7 @@
     pub boxes: u32,
     /// Ratio of the estimated load of all boxes to the load reported so far. It exceeds 1 while
     /// some boxes have not reported yet; those are assumed to have the same load as the others.
-    pub unheard: f64,
+    pub load_scale: f64,
     /// Uniformly distributed number drawn for the request, so that boxes with the same view choose
     /// differently.
     pub draw: u64,
@@ -109,7 +109,7 @@
     pub limits: Limits,
 }
 
-impl Circumstance<'_> {
+impl SelectionContext<'_> {
     /// Whether back-off or a rate limit prevents this box from sending to a target.
     fn is_send_blocked(&self, engine: &Engine) -> bool {
         engine.notice.is_backing_off(self.now) || self.lacks_permit(engine)
@@ -163,8 +163,8 @@
     fleet: &Fleet,
     service: &str,
     model: &LayerModel,
-    need: Need,
-    cx: &Circumstance<'_>,
+    need: Requirements,
+    cx: &SelectionContext<'_>,
 ) -> Option<Choice> {
     if let Some(local) = local_path(fleet, service, model, need, cx) {
         return local.into_choice(model);
@@ -193,8 +193,8 @@
     fleet: &Fleet,
     service: &str,
     model: &LayerModel,
-    need: Need,
-    cx: &Circumstance<'_>,
+    need: Requirements,
+    cx: &SelectionContext<'_>,
 ) -> Option<FoundPath> {
     let local_engines = fleet
         .of_service(service)
@@ -202,9 +202,9 @@
     let candidates: Vec<Candidate<'_>> = local_engines
         .filter_map(|row| candidate(row, model, need, cx, Filter::Sampled))
         .collect();
-    let (_, found) = best_path(&candidates, model, HOP_MS, need.aim)?;
+    let (_, found) = best_path(&candidates, model, HOP_MS, need.objectives)?;
     let is_sufficient = found.totals.utilization < MAX_LOCAL_UTILIZATION
-        && meets_objectives_with_margin(&found.totals, model, need.aim);
+        && meets_objectives_with_margin(&found.totals, model, need.objectives);
     is_sufficient.then_some(found)
 }
 
@@ -213,8 +213,8 @@
     fleet: &Fleet,
     service: &str,
     model: &LayerModel,
-    need: Need,
-    cx: &Circumstance<'_>,
+    need: Requirements,
+    cx: &SelectionContext<'_>,
     filter: Filter,
 ) -> Option<FoundPath> {
     let mut by_domain: BTreeMap<&str, Vec<Candidate<'_>>> = BTreeMap::new();
@@ -226,7 +226,7 @@
             .push(candidate);
     }
     let per_domain = by_domain.iter().filter_map(|(domain, candidates)| {
-        let (cost, found) = best_path(candidates, model, HOP_MS, need.aim)?;
+        let (cost, found) = best_path(candidates, model, HOP_MS, need.objectives)?;
         let factor = if *domain == cx.home {
             LOCAL_COST_FACTOR
         } else {
@@ -239,7 +239,7 @@
         return cheapest.map(|(_, found)| found);
     }
     let all: Vec<Candidate<'_>> = by_domain.into_values().flatten().collect();
-    best_path(&all, model, REMOTE_HOP_MS, need.aim).map(|(_, found)| found)
+    best_path(&all, model, REMOTE_HOP_MS, need.objectives).map(|(_, found)| found)
 }
 
 /// Returns an engine with its cost for the request if it passes the filter and has enough KV
@@ -247,8 +247,8 @@
 fn candidate<'a>(
     (key, engine): (EngineKey, &'a Engine),
     model: &LayerModel,
-    need: Need,
-    cx: &Circumstance<'_>,
+    need: Requirements,
+    cx: &SelectionContext<'_>,
     filter: Filter,
 ) -> Option<Candidate<'a>> {
     if !is_usable(key, engine, cx, filter) {
@@ -257,7 +257,7 @@
     Candidate::new(key, engine, model, need, cx)
 }
 
-fn is_usable(key: EngineKey, engine: &Engine, cx: &Circumstance<'_>, filter: Filter) -> bool {
+fn is_usable(key: EngineKey, engine: &Engine, cx: &SelectionContext<'_>, filter: Filter) -> bool {
     let health = &engine.health;
     let is_unavailable = engine.is_leaving() || health.is_dead() || health.is_contradicted(cx.now);
     // A full engine would refuse an immediate retry, and each refused send is charged to the shared
@@ -281,7 +281,7 @@
     fleet: &Fleet,
     service: &str,
     most_connections: u32,
-    cx: &Circumstance<'_>,
+    cx: &SelectionContext<'_>,
 ) -> Option<Instance> {
     least_loaded_instance(fleet, service, most_connections, cx, Filter::Healthy)
         .or_else(|| least_loaded_instance(fleet, service, most_connections, cx, Filter::Any))
@@ -291,7 +291,7 @@
     fleet: &Fleet,
     service: &str,
     most_connections: u32,
-    cx: &Circumstance<'_>,
+    cx: &SelectionContext<'_>,
     filter: Filter,
 ) -> Option<Instance> {
     let load = |engine: &Engine| {
--- a/reachtally-core/src/forward/select/shortage.rs
+++ b/reachtally-core/src/forward/select/no_path_reasons.rs
@@ -2,14 +2,14 @@
 
 use std::collections::BTreeMap;
 
-use super::{Candidate, Circumstance, Filter, Need, is_usable};
+use super::{Candidate, Filter, Requirements, SelectionContext, is_usable};
 use crate::forward::cost::LayerModel;
 use crate::forward::fleet::{Engine, EngineKey, Fleet};
 
 /// Numbers of failure domains without a path, by reason. A domain with several reasons counts under
 /// the first of them in field order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
-pub struct Shortage {
+pub struct NoPathReasons {
     /// No engine holds some layer.
     pub gap: u32,
     /// Some layer is held only by engines that are dead, leaving, excluded or temporarily
@@ -24,9 +24,9 @@
     pub limited: u32,
 }
 
-impl std::fmt::Display for Shortage {
+impl std::fmt::Display for NoPathReasons {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        let Shortage {
+        let NoPathReasons {
             gap,
             unusable,
             full,
@@ -52,13 +52,13 @@
 }
 
 /// Returns why failure domains cannot run a request.
-pub fn shortage(
+pub fn no_path_reasons(
     fleet: &Fleet,
     service: &str,
     model: &LayerModel,
-    need: Need,
-    cx: &Circumstance<'_>,
-) -> Shortage {
+    need: Requirements,
+    cx: &SelectionContext<'_>,
+) -> NoPathReasons {
     let layers = model.layers as usize;
     let mut by_domain: BTreeMap<&str, Vec<Status>> = BTreeMap::new();
     for (key, engine) in fleet.of_service(service) {
@@ -73,7 +73,7 @@
             }
         }
     }
-    let mut found = Shortage::default();
+    let mut found = NoPathReasons::default();
     for by_layer in by_domain.values() {
         match by_layer.iter().min() {
             Some(Status::Gap) => found.gap += 1,
@@ -93,8 +93,8 @@
     key: EngineKey,
     engine: &Engine,
     model: &LayerModel,
-    need: Need,
-    cx: &Circumstance<'_>,
+    need: Requirements,
+    cx: &SelectionContext<'_>,
 ) -> (Status, Status) {
     if !is_usable(key, engine, cx, Filter::Any) {
         return (Status::Unusable, Status::Unusable);
--- a/reachtally-core/src/forward/select/repair.rs
+++ b/reachtally-core/src/forward/select/repair.rs
@@ -4,7 +4,7 @@
 
 use super::candidate::Candidate;
 use super::judge::best_path;
-use super::{Choice, Circumstance, Filter, HOP_MS, Need, REMOTE_HOP_MS, is_usable};
+use super::{Choice, Filter, HOP_MS, REMOTE_HOP_MS, Requirements, SelectionContext, is_usable};
 use crate::forward::cost::{LayerModel, Layers};
 use crate::forward::fleet::{EngineKey, Fleet};
 use crate::forward::path::{Part, Path};
@@ -20,8 +20,8 @@
     fleet: &Fleet,
     service: &str,
     model: &LayerModel,
-    need: Need,
-    cx: &Circumstance<'_>,
+    need: Requirements,
+    cx: &SelectionContext<'_>,
     current: &Path,
     dead: &[EngineKey],
 ) -> Option<Choice> {
@@ -60,8 +60,8 @@
     fleet: &'a Fleet,
     service: &'a str,
     model: &'a LayerModel,
-    need: Need,
-    cx: &'a Circumstance<'a>,
+    need: Requirements,
+    cx: &'a SelectionContext<'a>,
     current: &'a Path,
 }
 
@@ -76,7 +76,7 @@
             .flat_map(|filter| [(filter, Some(home), HOP_MS), (filter, None, REMOTE_HOP_MS)]);
         attempts.into_iter().find_map(|(filter, domain, hop_ms)| {
             let candidates = self.candidates(retained, filter, domain)?;
-            let (_, found) = best_path(&candidates, self.model, hop_ms, self.need.aim)?;
+            let (_, found) = best_path(&candidates, self.model, hop_ms, self.need.objectives)?;
             found.into_choice(self.model)
         })
     }
--- a/reachtally-core/src/forward/select/ways.rs
+++ b/reachtally-core/src/forward/select/ways.rs
@@ -30,7 +30,7 @@
     pub fn fastest(model: &LayerModel) -> Self {
         Weights {
             price: 0.0,
-            token: model.usual_answer,
+            token: model.mean_answer_tokens,
             first: 1.0,
         }
     }
@@ -48,7 +48,7 @@
     /// Time per token.
     pub token_ms: f64,
     /// Prefill time of the prompt and of the prompts queued before it.
-    read_ms: f64,
+    prefill_ms: f64,
     /// Queueing time at the first engine.
     queue_ms: f64,
     /// Time until all engines have enough free KV capacity.
@@ -58,14 +58,14 @@
 impl PathTotals {
     /// Expected time to the first token.
     pub fn first_ms(&self) -> f64 {
-        self.read_ms + self.token_ms + self.queue_ms
+        self.prefill_ms + self.token_ms + self.queue_ms
     }
 
     /// Time to the first token by which paths are ranked. Uses the missing KV capacity of all
     /// engines instead of the announced queue, which excludes requests that other boxes sent after
     /// the announcement.
     pub fn ranking_first_ms(&self) -> f64 {
-        self.read_ms + self.token_ms + self.capacity_wait_ms
+        self.prefill_ms + self.token_ms + self.capacity_wait_ms
     }
 }
 
@@ -79,7 +79,7 @@
 impl FoundPath {
     pub fn into_choice(self, model: &LayerModel) -> Option<Choice> {
         let first = Duration::from_secs_f64(self.totals.first_ms() / 1000.0);
-        let path = Path::prove(self.parts, model.layers).ok()?;
+        let path = Path::try_new(self.parts, model.layers).ok()?;
         Some(Choice {
             path,
             token: Duration::from_secs_f64(self.totals.token_ms / 1000.0),
@@ -110,7 +110,7 @@
             utilization: 0.0,
             reported_utilization: 0.0,
             token_ms: 0.0,
-            read_ms: 0.0,
+            prefill_ms: 0.0,
             queue_ms: 0.0,
             capacity_wait_ms: 0.0,
         },
@@ -128,7 +128,7 @@
         weights: Weights,
     ) -> PartialPath {
         let token_ms = candidate.token_ms * layers + hop_ms;
-        let read_ms = (candidate.read_ms + candidate.wait_ms) * layers + hop_ms;
+        let prefill_ms = (candidate.prefill_ms + candidate.wait_ms) * layers + hop_ms;
         // Later engines receive their work from the first one, so only its slots limit the path.
         let slot_utilization = if from == 0 {
             candidate.slot_utilization
@@ -138,7 +138,7 @@
         let reported_utilization = candidate.kv_utilization.max(slot_utilization);
         let cost = weights.price * candidate.price
             + weights.token * token_ms
-            + weights.first * (read_ms + candidate.capacity_wait_ms);
+            + weights.first * (prefill_ms + candidate.capacity_wait_ms);
         PartialPath {
             cost: self.cost + cost,
             totals: PathTotals {
@@ -146,7 +146,7 @@
                 utilization: self.totals.utilization.max(candidate.utilization),
                 reported_utilization: self.totals.reported_utilization.max(reported_utilization),
                 token_ms: self.totals.token_ms + token_ms,
-                read_ms: self.totals.read_ms + read_ms,
+                prefill_ms: self.totals.prefill_ms + prefill_ms,
                 queue_ms: match from {
                     0 => candidate.queue_ms,
                     _ => self.totals.queue_ms,
--- a/reachtally-core/src/forward/shares/aggregator.rs
+++ b/reachtally-core/src/forward/shares/aggregator.rs
@@ -8,8 +8,8 @@
 use super::max_min::{Group, max_min};
 use super::usage::highest_rates;
 use super::{
-    ACCOUNTS_ANSWERED, ACCOUNTS_OF_DOMAIN, AccountFraction, AccountRate, AccountRates,
-    MOST_SERVICES, SHARE_TTL, ServiceRates, ServiceShare,
+    AccountFraction, AccountRate, AccountRates, MAX_ACCOUNTS_PER_ANSWER, MAX_ACCOUNTS_PER_DOMAIN,
+    MAX_SERVICES, SHARE_TTL, ServiceRates, ServiceShare,
 };
 use crate::forward::limit::DemandRate;
 use crate::forward::quarantine::AccountDigest;
@@ -30,7 +30,7 @@
 const TOLERATED_DEVIATIONS: f64 = 3.0;
 /// Minimum fraction of an account's requests within its share, relative to the fraction of all
 /// requests that is served.
-pub const LEAST_SERVED: f64 = 0.25;
+pub const MIN_SERVED_FRACTION: f64 = 0.25;
 /// Minimum fraction of offered requests that must be admitted for shares to be computed. If almost
 /// nothing is admitted, the rates do not indicate a capacity.
 const MIN_ADMITTED_FRACTION: f64 = 0.01;
@@ -100,7 +100,7 @@
             offered: DemandRate::new(self.offered),
             admitted: DemandRate::new(self.admitted),
             count: self.count(),
-            accounts: self.listed(ACCOUNTS_OF_DOMAIN),
+            accounts: self.listed(MAX_ACCOUNTS_PER_DOMAIN),
         }
     }
 
@@ -139,14 +139,14 @@
         // An account that does not fit into the answer is not limited, so accounts that fit are not
         // limited to less.
         let first_omitted_rate = listed
-            .get(ACCOUNTS_ANSWERED)
+            .get(MAX_ACCOUNTS_PER_ANSWER)
             .map_or(0.0, |each| each.rate.per_second());
         let share = share.max(first_omitted_rate).max(unlisted.rate);
-        let above = listed.iter().take(ACCOUNTS_ANSWERED);
+        let above = listed.iter().take(MAX_ACCOUNTS_PER_ANSWER);
         let above = above.map(|each| (each.account, each.rate.per_second()));
         let above = above.filter(|(_, rate)| is_above(*rate, share));
         let fraction = |(account, rate): (AccountDigest, f64)| {
-            let fraction = (share / rate).max(served * LEAST_SERVED);
+            let fraction = (share / rate).max(served * MIN_SERVED_FRACTION);
             (AccountFraction { account, fraction }, rate)
         };
         Some((share, above.map(fraction).collect()))
@@ -155,7 +155,7 @@
 
 /// Whether an account exceeded its share or returned within it.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub enum Crossing {
+pub enum ShareTransition {
     /// The account exceeded the share.
     Beyond {
         /// The account's requests per second.
@@ -171,13 +171,13 @@
 
 /// An account that exceeded its share or returned within it.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Change {
+pub struct ShareChange {
     /// The service.
     pub service: Arc<str>,
     /// The account.
     pub account: AccountDigest,
     /// What happened.
-    pub crossing: Crossing,
+    pub crossing: ShareTransition,
 }
 
 /// Aggregates the rates of a failure domain's boxes and of other collectors.
@@ -211,7 +211,7 @@
         for reported in rates.services {
             let known = sender.services.get(&reported.service);
             let is_outdated = known.is_some_and(|known| known.number >= rates.number);
-            let fits = known.is_some() || sender.services.len() < MOST_SERVICES;
+            let fits = known.is_some() || sender.services.len() < MAX_SERVICES;
             if is_outdated || !fits {
                 continue;
             }
@@ -240,7 +240,7 @@
 
     /// Removes expired rates and recomputes the shares unless they are recent. Returns the accounts
     /// that exceeded their share or returned within it.
-    pub fn update_totals(&mut self, now: Instant) -> Vec<Change> {
+    pub fn update_totals(&mut self, now: Instant) -> Vec<ShareChange> {
         let is_recent = |at: Instant| now.since(at) < AGGREGATION_INTERVAL;
         match self.aggregated_at.is_some_and(is_recent) {
             true => Vec::new(),
@@ -249,7 +249,7 @@
     }
 
     /// Like [`Aggregator::update_totals`], but regardless of the age of the shares.
-    pub fn sum_up_now(&mut self, now: Instant) -> Vec<Change> {
+    pub fn sum_up_now(&mut self, now: Instant) -> Vec<ShareChange> {
         self.aggregated_at = Some(now);
         self.senders.retain(|_, sender| {
             sender.services.retain(|_, received| received.is_valid(now));
@@ -276,7 +276,11 @@
         self.compute_shares(&all, now)
     }
 
-    fn compute_shares(&mut self, sums: &BTreeMap<Arc<str>, RateSum>, now: Instant) -> Vec<Change> {
+    fn compute_shares(
+        &mut self,
+        sums: &BTreeMap<Arc<str>, RateSum>,
+        now: Instant,
+    ) -> Vec<ShareChange> {
         let mut changes = Vec::new();
         self.shares.clear();
         for (service, sum) in sums {
@@ -284,7 +288,7 @@
             let share = found.as_ref().map(|(share, _)| DemandRate::new(*share));
             let above = found.map(|(_, above)| above).unwrap_or_default();
             for (limited, rate) in &above {
-                let crossing = Crossing::Beyond {
+                let crossing = ShareTransition::Beyond {
                     rate: *rate,
                     share: share.unwrap_or_default().per_second(),
                     fraction: limited.fraction,
@@ -303,7 +307,7 @@
         self.above.retain(|(service, account), at| {
             let is_above = now.since(*at) < WITHIN_DELAY;
             if !is_above {
-                changes.push(change(service, *account, Crossing::Within));
+                changes.push(change(service, *account, ShareTransition::Within));
             }
             is_above
         });
@@ -330,7 +334,7 @@
 
 /// Keeps only the services with the highest rates.
 fn keep_busiest(sums: &mut BTreeMap<Arc<str>, RateSum>) {
-    if sums.len() <= MOST_SERVICES {
+    if sums.len() <= MAX_SERVICES {
         return;
     }
     let mut rates: Vec<(f64, Arc<str>)> = sums
@@ -338,13 +342,13 @@
         .map(|(service, sum)| (sum.offered, service.clone()))
         .collect();
     rates.sort_by(|a, b| b.0.total_cmp(&a.0));
-    for (_, service) in rates.split_off(MOST_SERVICES) {
+    for (_, service) in rates.split_off(MAX_SERVICES) {
         sums.remove(&service);
     }
 }
 
-fn change(service: &Arc<str>, account: AccountDigest, crossing: Crossing) -> Change {
-    Change {
+fn change(service: &Arc<str>, account: AccountDigest, crossing: ShareTransition) -> ShareChange {
+    ShareChange {
         service: service.clone(),
         account,
         crossing,
--- a/reachtally-core/src/forward/shares/believed.rs
+++ b/reachtally-core/src/forward/shares/believed.rs
@@ -25,9 +25,9 @@
 
 /// The shares received by a box.
 #[derive(Debug, Default)]
-pub struct Believed(HashMap<Arc<str>, ServiceShares>);
+pub struct EnforcedShares(HashMap<Arc<str>, ServiceShares>);
 
-impl Believed {
+impl EnforcedShares {
     /// Updates the shares, ignoring services for which a more recent answer is known.
     pub fn update(&mut self, shares: AccountShares, now: Instant) {
         self.remove_expired(now);
@@ -70,7 +70,7 @@
     }
 
     /// Returns the number of accounts above their share, summed over services.
-    pub fn accounts_beyond(&self, now: Instant) -> usize {
+    pub fn accounts_above_share(&self, now: Instant) -> usize {
         let valid = self.0.values().filter(|state| state.is_valid(now));
         valid.map(|state| state.fractions.len()).sum()
     }
--- a/reachtally-core/src/forward/shares/mod.rs
+++ b/reachtally-core/src/forward/shares/mod.rs
@@ -20,8 +20,8 @@
 mod max_min;
 mod usage;
 
-pub use aggregator::{Aggregator, Change, Crossing, LEAST_SERVED};
-pub use believed::Believed;
+pub use aggregator::{Aggregator, MIN_SERVED_FRACTION, ShareChange, ShareTransition};
+pub use believed::EnforcedShares;
 pub use max_min::{Group, max_min};
 pub use usage::Usage;
 
@@ -32,13 +32,13 @@
 pub const CONTENTION_TTL: Duration = Duration::from_millis(1000);
 /// Maximum number of accounts per service that a box reports; those with the highest rates are
 /// chosen.
-pub const ACCOUNTS_OF_BOX: usize = 32;
+pub const MAX_ACCOUNTS_PER_BOX: usize = 32;
 /// Maximum number of accounts per service that a collector reports for its failure domain.
-pub const ACCOUNTS_OF_DOMAIN: usize = 64;
+pub const MAX_ACCOUNTS_PER_DOMAIN: usize = 64;
 /// Maximum number of accounts per service in an answer to a box.
-pub const ACCOUNTS_ANSWERED: usize = 32;
+pub const MAX_ACCOUNTS_PER_ANSWER: usize = 32;
 /// Maximum number of services per sender; those with the highest rates are chosen.
-pub const MOST_SERVICES: usize = 16;
+pub const MAX_SERVICES: usize = 16;
 
 /// Whether a request is within the share of its account in a contended service.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
--- a/reachtally-core/src/forward/shares/usage.rs
+++ b/reachtally-core/src/forward/shares/usage.rs
@@ -3,7 +3,7 @@
 use std::collections::HashMap;
 use std::sync::Arc;
 
-use super::{ACCOUNTS_OF_BOX, AccountRate, CONTENTION_TTL, MOST_SERVICES, ServiceRates};
+use super::{AccountRate, CONTENTION_TTL, MAX_ACCOUNTS_PER_BOX, MAX_SERVICES, ServiceRates};
 use crate::forward::limit::DemandRate;
 use crate::forward::quarantine::AccountDigest;
 use crate::forward::rate::MeanRate;
@@ -56,7 +56,7 @@
             offered: DemandRate::new(self.offered.at(now)),
             admitted: DemandRate::new(self.admitted.at(now)),
             count: self.accounts.len() as u32,
-            accounts: highest_rates(each.collect(), ACCOUNTS_OF_BOX),
+            accounts: highest_rates(each.collect(), MAX_ACCOUNTS_PER_BOX),
         }
     }
 }
@@ -72,14 +72,14 @@
     accounts
 }
 
-/// Returns up to [`MOST_SERVICES`] services with the highest rates.
+/// Returns up to [`MAX_SERVICES`] services with the highest rates.
 fn highest_offered(mut services: Vec<ServiceRates>) -> Vec<ServiceRates> {
     let rate = |each: &ServiceRates| each.offered.per_second();
     services.sort_by(|a, b| {
         let by_rate = rate(b).total_cmp(&rate(a));
         by_rate.then_with(|| a.service.cmp(&b.service))
     });
-    services.truncate(MOST_SERVICES);
+    services.truncate(MAX_SERVICES);
     services
 }
 
--- a/reachtally-core/src/forward/stall.rs
+++ b/reachtally-core/src/forward/stall.rs
@@ -12,14 +12,14 @@
 
 /// Minimum silence that counts as a stall, whatever the speed of the path. Scheduling and queueing
 /// cause shorter pauses.
-pub const LEAST_SILENCE: Duration = Duration::from_millis(60);
+pub const MIN_SILENCE: Duration = Duration::from_millis(60);
 /// Minimum silence that counts as a stall, in expected gaps between events. It only triggers a
 /// check whether the engines are reachable, which costs a connection; the result of the check
 /// decides. With twice this value, streams over slow chains would continue only after the pause
 /// that callers tolerate.
 const MIN_GAPS: f64 = 2.0;
 /// Maximum silence to wait for, in expected gaps between events.
-pub const MOST_GAPS: f64 = 4.0;
+pub const MAX_GAPS: f64 = 4.0;
 /// Silence, in expected gaps, after which the engines of a stream are checked if all other streams
 /// on them are silent too. This is stronger evidence than the silence of one stream, and callers
 /// tolerate few gaps without an event.
@@ -52,7 +52,7 @@
 
 /// Running mean and deviation of the gaps between the events of a stream.
 #[derive(Debug, Clone, Copy)]
-pub struct Gaps {
+pub struct EventGaps {
     mean: f64,
     deviation: f64,
 }
@@ -64,11 +64,11 @@
 /// Weight of a new gap in the running deviation.
 const DEVIATION_WEIGHT: f64 = 0.25;
 
-impl Gaps {
+impl EventGaps {
     /// Creates the initial estimate for a path with the expected gap `gap` between events.
     pub fn expected(gap: Duration) -> Self {
         let mean = gap.as_secs_f64();
-        Gaps {
+        EventGaps {
             mean,
             deviation: mean * INITIAL_DEVIATION,
         }
@@ -83,15 +83,15 @@
 
     /// Returns the silence after which the stream counts as stalled if all other streams on the
     /// same engine are silent too.
-    pub fn due_after(&self) -> Duration {
+    pub fn shared_silence_timeout(&self) -> Duration {
         let silence = Duration::from_secs_f64(SHARED_SILENCE_GAPS * self.mean);
-        silence.max(LEAST_SILENCE).min(self.overdue_after())
+        silence.max(MIN_SILENCE).min(self.silence_timeout())
     }
 
     /// Returns the silence after which the stream counts as stalled on its own.
-    pub fn overdue_after(&self) -> Duration {
+    pub fn silence_timeout(&self) -> Duration {
         let silence = self.mean + TIMEOUT_DEVIATIONS * self.deviation;
-        let bounded = silence.clamp(MIN_GAPS * self.mean, MOST_GAPS * self.mean);
-        Duration::from_secs_f64(bounded).max(LEAST_SILENCE)
+        let bounded = silence.clamp(MIN_GAPS * self.mean, MAX_GAPS * self.mean);
+        Duration::from_secs_f64(bounded).max(MIN_SILENCE)
     }
 }
--- a/reachtally-core/tests/core/forward/admission.rs
+++ b/reachtally-core/tests/core/forward/admission.rs
@@ -10,9 +10,9 @@
 use rand_chacha::ChaCha8Rng;
 use reachtally_core::Instant;
 use reachtally_core::forward::admission::{
-    Booking, Bounds, Class, Conditions, Entrant, Full, LATEST_RETURN, MOST_RESERVED, Mix, Offer,
-    Order, Pace, Pacer, Queue, REACTION, Rank, Returns, Running, Schedule, Standing, Verdict,
-    admit, instance_offer, patience, reserve,
+    Bounds, Class, Conditions, MAX_RESERVED, MAX_RETRY_AFTER, Mix, Offer, OverbookingLimit, Pace,
+    Pacer, Queue, QueueFull, QueuePosition, QueuedRequest, REACTION, Rank, RefusedRequests,
+    RetrySchedule, Running, Standing, Verdict, admit, instance_offer, patience, reserve,
 };
 use reachtally_core::forward::fingerprint::{FINGERPRINT_BYTES, Fingerprint};
 use reachtally_core::forward::fleet::EngineKey;
@@ -31,7 +31,7 @@
         rank: Rank(rank),
         standing: Standing::Within,
         is_resumed: false,
-        is_return: false,
+        is_retry: false,
     }
 }
 
@@ -73,7 +73,7 @@
 struct Request {
     rank: u8,
     arrived: u64,
-    is_return: bool,
+    is_retry: bool,
     number: u64,
 }
 
@@ -84,9 +84,9 @@
     others: usize,
     mix: Mix,
     pacer: Pacer,
-    schedule: Schedule,
+    schedule: RetrySchedule,
     queue: Queue<Request>,
-    waiting: Vec<(Order, Request)>,
+    waiting: Vec<(QueuePosition, Request)>,
 }
 
 /// What callers got.
@@ -136,9 +136,15 @@
         }
     }
 
-    fn verdict(&mut self, at: usize, req: &Request, order: Option<&Order>, now: u64) -> Verdict {
+    fn verdict(
+        &mut self,
+        at: usize,
+        req: &Request,
+        order: Option<&QueuePosition>,
+        now: u64,
+    ) -> Verdict {
         let judged_as = Class {
-            is_return: req.is_return,
+            is_retry: req.is_retry,
             ..class(req.rank)
         };
         let offer = self.offer(at);
@@ -170,15 +176,15 @@
         }
     }
 
-    fn arrive(&mut self, rank: u8, at: usize, is_return: bool, now: u64) {
+    fn arrive(&mut self, rank: u8, at: usize, is_retry: bool, now: u64) {
         self.count += 1;
         let req = Request {
             rank,
             arrived: now,
-            is_return,
+            is_retry,
             number: self.count,
         };
-        if !is_return && now > self.counted_from {
+        if !is_retry && now > self.counted_from {
             self.outcome.offered[usize::from(rank)] += 1;
         }
         self.boxes[at].pacer.offered(Instant::from_elapsed(ms(now)));
@@ -192,7 +198,7 @@
     }
 
     fn wait(&mut self, at: usize, req: Request, now: u64) {
-        let entrant = Entrant {
+        let entrant = QueuedRequest {
             service: "s".into(),
             is_resumed: false,
             position: usize::from(req.rank),
@@ -227,7 +233,7 @@
         let is_free = (self.running.len() as f64) < 0.95 * self.service.slots as f64;
         self.outcome.refused_in_vain += u32::from(now > self.counted_from && is_free);
         // Callers return once.
-        if req.is_return {
+        if req.is_retry {
             return;
         }
         self.returns
@@ -311,7 +317,7 @@
         others: 0,
         mix: Mix::default(),
         pacer: Pacer::default(),
-        schedule: Schedule::default(),
+        schedule: RetrySchedule::default(),
         queue: Queue::new(Bounds {
             count: 64,
             bytes: 1 << 24,
@@ -414,8 +420,8 @@
 }
 
 prop_compose! {
-    fn paces()(level in numbers(), demand in numbers(), growth in numbers(), rate in numbers(), kept in numbers()) -> Pace {
-        Pace { level, demand, growth, rate, kept }
+    fn paces()(level in numbers(), demand in numbers(), growth in numbers(), rate in numbers(), burst in numbers()) -> Pace {
+        Pace { level, demand, growth, rate, burst }
     }
 }
 
@@ -440,7 +446,7 @@
     #[test]
     fn a_more_urgent_rank_never_does_worse_under_the_same_offer(
         used in 0.0..3.0f64, level in -1.5..1.5f64, demand in prop_oneof![9 => 0.0..5.0f64, 1 => Just(f64::INFINITY)], growth in 0.0..2.0f64, rate in 0.0..50.0f64,
-        mix in prop::collection::vec(0.0..1.0f64, 4), held in 1u64..5_000, waited in 0u64..500, ahead in 0usize..5, is_return: bool,
+        mix in prop::collection::vec(0.0..1.0f64, 4), held in 1u64..5_000, waited in 0u64..500, ahead in 0usize..5, is_retry: bool,
     ) {
         let cx = Conditions {
             held: ms(held),
@@ -448,18 +454,18 @@
             mix: &mix,
             objective: ms(500),
             waited: ms(waited),
-            pace: Pace { level, demand, growth, rate, kept: 1.0 + rate * 0.1 },
+            pace: Pace { level, demand, growth, rate, burst: 1.0 + rate * 0.1 },
             ahead,
         };
         let offer = Some(Offer { used, first: ms(100) });
         let beyond = Class { standing: Standing::Beyond, ..class(0) };
         let classes = [class(0), class(1), class(2), beyond];
-        let verdicts = classes.map(|class| severity(admit(Class { is_return, ..class }, offer, &cx)));
+        let verdicts = classes.map(|class| severity(admit(Class { is_retry, ..class }, offer, &cx)));
         prop_assert!(verdicts.is_sorted(), "{verdicts:?}");
         // Others leave the most urgent as much as it may take in advance, also while nothing may be admitted.
         prop_assert!(verdicts[0] == 0 || level < -1.0 || ahead > 0);
         // A request that returns does no worse than before, and no better than the next more urgent rank.
-        let of = |rank, is_return| severity(admit(Class { is_return, ..class(rank) }, offer, &cx));
+        let of = |rank, is_retry| severity(admit(Class { is_retry, ..class(rank) }, offer, &cx));
         for rank in 1..3 {
             prop_assert!((of(rank - 1, false)..=of(rank, false)).contains(&of(rank, true)));
         }
@@ -467,23 +473,23 @@
 
     #[test]
     fn use_below_the_limit_always_admits(part in 0.0..1.0f64, mix in prop::collection::vec(0.0..1.0f64, 3), held in durations(), rank in 0u8..3) {
-        let pace = Pace { level: -2.0, demand: 9.0, growth: 0.0, rate: 0.0, kept: 1.0 };
+        let pace = Pace { level: -2.0, demand: 9.0, growth: 0.0, rate: 0.0, burst: 1.0 };
         let cx = Conditions { held, reaction: REACTION, mix: &mix, objective: ms(500), waited: ms(10), pace, ahead: 9 };
         let used = part * (1.0 - reserve(class(rank), &cx));
         let offer = Offer { used, first: Duration::MAX };
         prop_assert_eq!(admit(class(rank), Some(offer), &cx), Verdict::Admit);
-        prop_assert!(reserve(class(rank), &cx) <= MOST_RESERVED);
+        prop_assert!(reserve(class(rank), &cx) <= MAX_RESERVED);
         prop_assert_eq!(reserve(class(0), &cx), 0.0);
     }
 
     #[test]
     fn numbers_without_reason_do_no_harm(
         offer in prop::option::of(offers()), mix in prop::collection::vec(numbers(), 0..5), held in durations(), reaction in durations(),
-        objective in durations(), waited in durations(), pace in paces(), ahead: usize, rank: u8, is_return: bool, is_resumed: bool,
+        objective in durations(), waited in durations(), pace in paces(), ahead: usize, rank: u8, is_retry: bool, is_resumed: bool,
         slots_used in numbers(), own in numbers(), all in numbers(), boxes: u32,
     ) {
         let cx = Conditions { held, reaction, mix: &mix, objective, waited, pace, ahead };
-        let class = Class { is_return, is_resumed, ..class(rank) };
+        let class = Class { is_retry, is_resumed, ..class(rank) };
         match admit(class, offer, &cx) {
             Verdict::Admit => {}
             Verdict::Wait(left) => prop_assert!(left <= patience(objective)),
@@ -494,14 +500,14 @@
         let mut pacer = Pacer::default();
         let looked = pacer.look(slots_used, Running { own, all, boxes }, reaction, at(5));
         pacer.admitted();
-        prop_assert!(looked.kept >= 1.0 && looked.kept.is_finite(), "{looked:?}");
-        let after = Schedule::default().next(held, looked.rate, objective, 7, at(5));
-        prop_assert!(after <= LATEST_RETURN);
+        prop_assert!(looked.burst >= 1.0 && looked.burst.is_finite(), "{looked:?}");
+        let after = RetrySchedule::default().next(held, looked.rate, objective, 7, at(5));
+        prop_assert!(after <= MAX_RETRY_AFTER);
     }
 }
 
-fn entrant(position: usize, account: &str, deadline: u64) -> Entrant {
-    Entrant {
+fn entrant(position: usize, account: &str, deadline: u64) -> QueuedRequest {
+    QueuedRequest {
         service: "s".into(),
         is_resumed: false,
         position,
@@ -512,7 +518,7 @@
 }
 
 /// The names of those that wait, in order.
-fn in_order(mut queue: Queue<&'static str>, orders: &[Order]) -> Vec<&'static str> {
+fn in_order(mut queue: Queue<&'static str>, orders: &[QueuePosition]) -> Vec<&'static str> {
     let mut sorted = orders.to_vec();
     sorted.sort();
     sorted
@@ -527,7 +533,7 @@
         count: 9,
         bytes: 10_000,
     });
-    let resumed = Entrant {
+    let resumed = QueuedRequest {
         is_resumed: true,
         ..entrant(1, "a", 900)
     };
@@ -540,7 +546,7 @@
         (resumed, "resumed"),
     ];
     let join = |(entrant, name)| queue.join(entrant, name).expect("it has a place").0;
-    let orders: Vec<Order> = joined.into_iter().map(join).collect();
+    let orders: Vec<QueuePosition> = joined.into_iter().map(join).collect();
     let expected = [
         "resumed",
         "first of c, due sooner",
@@ -562,29 +568,29 @@
     let (last, _) = queue
         .join(entrant(2, "b", 100), "b")
         .expect("there is room");
-    assert_eq!(queue.join(entrant(2, "c", 200), "c"), Err(Full));
+    assert_eq!(queue.join(entrant(2, "c", 200), "c"), Err(QueueFull));
     let (_, replaced) = queue
         .join(entrant(0, "d", 900), "d")
         .expect("it is more urgent");
     assert_eq!(replaced, ["b"]);
     assert!(!queue.has(&last));
-    let large = Entrant {
+    let large = QueuedRequest {
         bytes: 200,
         ..entrant(0, "e", 1)
     };
     let (_, replaced) = queue.join(large, "e").expect("it is before all");
     assert_eq!(replaced, ["a", "d"]);
     assert_eq!((queue.len(), queue.bytes()), (1, 200));
-    let huge = Entrant {
+    let huge = QueuedRequest {
         bytes: 251,
         ..entrant(0, "f", 0)
     };
-    assert_eq!(queue.join(huge, "f"), Err(Full));
+    assert_eq!(queue.join(huge, "f"), Err(QueueFull));
 }
 
 #[test]
 fn callers_return_one_after_the_other_and_within_a_third_of_their_time() {
-    let mut schedule = Schedule::default();
+    let mut schedule = RetrySchedule::default();
     let mut next = |draw| schedule.next(ms(100), 50.0, ms(6_000), draw, at(1_000));
     let first: Vec<u128> = (0..3).map(|draw| next(draw).as_millis()).collect();
     assert_eq!(first, [120, 140, 160]);
@@ -598,7 +604,7 @@
 #[test]
 fn a_request_returns_once_and_not_earlier_than_told() {
     let request = |number| Fingerprint([number; FINGERPRINT_BYTES]);
-    let mut returns = Returns::default();
+    let mut returns = RefusedRequests::default();
     returns.tell(request(1), at(500), at(0));
     returns.tell(request(2), at(500), at(0));
     assert!(!returns.take(request(1), at(499)));
@@ -625,7 +631,12 @@
 }
 
 /// The bound after `seconds` of 20 sends a second, of which each `refused_of`th is refused.
-fn booked_after(booking: &mut Booking, from_ms: u64, seconds: u64, refused_of: u64) -> f64 {
+fn booked_after(
+    booking: &mut OverbookingLimit,
+    from_ms: u64,
+    seconds: u64,
+    refused_of: u64,
+) -> f64 {
     let sends = (0..seconds * 20).map(|number| (number, at(from_ms + number * 50)));
     for (number, now) in sends {
         booking.sent(now);
@@ -638,7 +649,7 @@
 
 #[test]
 fn less_is_booked_while_engines_refuse_and_as_much_as_before_once_they_do_not() {
-    let mut booking = Booking::default();
+    let mut booking = OverbookingLimit::default();
     let most = booking.bound(at(0));
     assert!(most > 1.2, "{most}");
     assert_eq!(booked_after(&mut booking, 0, 5, 50), most);
@@ -650,7 +661,7 @@
 
 #[test]
 fn one_refusal_on_a_box_with_few_requests_changes_little() {
-    let mut booking = Booking::default();
+    let mut booking = OverbookingLimit::default();
     let most = booking.bound(at(0));
     booking.sent(at(0));
     booking.refused(at(0));
--- a/reachtally-core/tests/core/forward/choice_properties.rs
+++ b/reachtally-core/tests/core/forward/choice_properties.rs
@@ -3,7 +3,7 @@
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 use reachtally_core::forward::fleet::{EngineKey, Fleet};
-use reachtally_core::forward::select::{Circumstance, path};
+use reachtally_core::forward::select::{SelectionContext, path};
 
 use super::setup::{NEED, SERVICE, cx, entry, fleet, model};
 
@@ -27,7 +27,7 @@
 }
 
 fn choose(fleet: &Fleet, draw: u64) -> Option<Vec<EngineKey>> {
-    let cx = Circumstance { draw, ..cx(&[]) };
+    let cx = SelectionContext { draw, ..cx(&[]) };
     let choice = path(fleet, SERVICE, &model(), NEED, &cx)?;
     Some(choice.path.engines())
 }
--- a/reachtally-core/tests/core/forward/cost.rs
+++ b/reachtally-core/tests/core/forward/cost.rs
@@ -14,13 +14,13 @@
     };
     let card = free.cards["small"];
     let few = (
-        free.reading_slowdown(&card, 8, 1.0),
-        bounded.reading_slowdown(&card, 8, 1.0),
+        free.prefill_slowdown(&card, 8, 1.0),
+        bounded.prefill_slowdown(&card, 8, 1.0),
     );
     assert_eq!(few.0, few.1, "a pass that is not filled is not bounded");
-    let many = bounded.reading_slowdown(&card, 8, 1000.0);
-    assert!(many < free.reading_slowdown(&card, 8, 1000.0), "{many}");
-    let chunk_ms = bounded.read_ms(&card, 8, 512.0);
+    let many = bounded.prefill_slowdown(&card, 8, 1000.0);
+    assert!(many < free.prefill_slowdown(&card, 8, 1000.0), "{many}");
+    let chunk_ms = bounded.prefill_ms(&card, 8, 512.0);
     let steps_ms = 3.0 * bounded.step_ms(&card, 8, 1.0);
     let worst = 1.0 + chunk_ms / steps_ms;
     assert!((many - worst).abs() < 1e-9, "{many}, not {worst}");
@@ -34,7 +34,7 @@
         ..model()
     };
     let card = model.cards["large"];
-    let pass_ms = model.read_ms(&card, 20, 512.0) + 3.0 * model.step_ms(&card, 20, 30.0);
-    let rate = model.most_read_per_s(&card, 20, 30.0);
+    let pass_ms = model.prefill_ms(&card, 20, 512.0) + 3.0 * model.step_ms(&card, 20, 30.0);
+    let rate = model.max_prefill_per_s(&card, 20, 30.0);
     assert!((rate * pass_ms / 1000.0 - 512.0).abs() < 1e-6, "{rate}");
 }
--- a/reachtally-core/tests/core/forward/evaluate.rs
+++ b/reachtally-core/tests/core/forward/evaluate.rs
@@ -4,11 +4,11 @@
 use reachtally_core::forward::cost::{Card, LayerModel, Layers};
 use reachtally_core::forward::placement::evaluate::{Demand, capacity, chains, served};
 use reachtally_core::forward::placement::{Host, moves};
-use reachtally_core::forward::select::Aim;
+use reachtally_core::forward::select::LatencyObjectives;
 
 use super::setup::{hosts, model};
 
-const AIM: Aim = Aim {
+const AIM: LatencyObjectives = LatencyObjectives {
     first_ms: Some(500.0),
     gap_ms: Some(250.0),
 };
@@ -23,8 +23,8 @@
         step_ms: 9.0,
         stride: 1.0,
         slots: 1000,
-        usual_prompt: 8.0,
-        usual_answer: 4.0,
+        mean_prompt_tokens: 8.0,
+        mean_answer_tokens: 4.0,
         ..LayerModel::default()
     }
 }
@@ -89,17 +89,17 @@
 fn reading_bounds_what_is_served() {
     let reading = LayerModel {
         read_per_s: 2000.0,
-        usual_answer: 0.5,
+        mean_answer_tokens: 0.5,
         ..plain()
     };
     let hosts = holding(&[(0..10, 100_000.0, 1.0)]);
-    let free = capacity(&reading, &hosts, Aim::default());
+    let free = capacity(&reading, &hosts, LatencyObjectives::default());
     assert!(free <= 2000.0 / 8.0 + 1e-6, "{free}");
     let bounded = LayerModel {
         chunk: 1.0,
         ..reading
     };
-    let chunked = capacity(&bounded, &hosts, Aim::default());
+    let chunked = capacity(&bounded, &hosts, LatencyObjectives::default());
     // A pass reads a token in 0.5 ms and decodes for 9 ms.
     assert!(chunked <= 1000.0 / 9.5 / 8.0 + 1e-6, "{chunked}");
 }
@@ -120,7 +120,7 @@
         &[of("a", 10.0, 8.0), of("b", 10.0, 8.0)],
         AIM,
     );
-    assert_eq!((small.together, small.apart), (20.0, 10.0));
+    assert_eq!((small.combined, small.isolated), (20.0, 10.0));
     all[1].domain = "b".into();
     let parted = served(
         &plain(),
@@ -128,7 +128,7 @@
         &[of("a", 10.0, 8.0), of("b", 10.0, 8.0)],
         AIM,
     );
-    assert_eq!((parted.together, parted.apart), (20.0, 20.0));
+    assert_eq!((parted.combined, parted.isolated), (20.0, 20.0));
     let long = served(&plain(), &all, &[of("a", 10.0, 18.0)], AIM);
     assert!(long.capacity < 0.6 * parted.capacity, "{long:?} {parted:?}");
 }
--- a/reachtally-core/tests/core/forward/heavy.rs
+++ b/reachtally-core/tests/core/forward/heavy.rs
@@ -10,7 +10,9 @@
 use reachtally_core::Instant;
 use reachtally_core::forward::cost::{Card, LayerModel};
 use reachtally_core::forward::fleet::{EngineKey, Entry, Fleet};
-use reachtally_core::forward::select::{Aim, Circumstance, Limits, Need, path};
+use reachtally_core::forward::select::{
+    LatencyObjectives, Limits, Requirements, SelectionContext, path,
+};
 
 use super::setup::{self, SERVICE, entry, fleet};
 
@@ -64,7 +66,7 @@
         read_per_s: 353_000.0,
         stride: 2.0,
         chunk: 0.0,
-        usual_answer: 138.0,
+        mean_answer_tokens: 138.0,
         cards: cards.iter().map(card).collect(),
         ..setup::model()
     }
@@ -117,7 +119,7 @@
 struct Running {
     at: usize,
     path: Vec<usize>,
-    need: Need,
+    need: Requirements,
 }
 
 #[derive(Default, Debug)]
@@ -230,10 +232,10 @@
     fn ask(&mut self, now: u64) {
         self.outcome.asked += 1;
         let at = self.rng.random_range(0..self.boxes.len());
-        let need = Need {
+        let need = Requirements {
             prompt: self.rng.random_range(400.0..1200.0),
             answer: self.rng.random_range(60.0..220.0),
-            aim: Aim {
+            objectives: LatencyObjectives {
                 first_ms: Some(OBJECTIVE_MS),
                 gap_ms: Some(200.0),
             },
@@ -246,15 +248,15 @@
     }
 
     /// Send to the engines chosen; false if nothing ran.
-    fn send(&mut self, at: usize, need: Need, now: u64) -> bool {
+    fn send(&mut self, at: usize, need: Requirements, now: u64) -> bool {
         let clock = Instant::from_elapsed(Duration::from_millis(now));
-        let cx = Circumstance {
+        let cx = SelectionContext {
             now: clock,
             home: "a",
             avoid: &[],
             held: Duration::from_millis(1500),
             boxes: self.boxes.len() as u32,
-            unheard: 1.0,
+            load_scale: 1.0,
             draw: self.rng.random(),
             limits: Limits::Enforced,
         };
@@ -283,7 +285,7 @@
             };
             read_at = read_at.max(free_at);
             read_at = real.busy_until.max(read_at + HOP_MS);
-            read_at += self.model.read_ms(&card, layers, need.prompt);
+            read_at += self.model.prefill_ms(&card, layers, need.prompt);
             real.busy_until = read_at;
             token_ms += self.model.step_ms(&card, layers, 10.0) + HOP_MS;
         }
--- a/reachtally-core/tests/core/forward/limit.rs
+++ b/reachtally-core/tests/core/forward/limit.rs
@@ -9,7 +9,7 @@
     PermitRequest, Permits, RateLimit, ServiceDemand, SharingScope, StatedLimit, apply, changes,
     page,
 };
-use reachtally_core::forward::select::{Circumstance, Limits, path};
+use reachtally_core::forward::select::{Limits, SelectionContext, path};
 use reachtally_core::ids::Incarnation;
 
 use super::setup::{NEED, SERVICE, cx, entry, fleet, instance, model};
@@ -298,7 +298,7 @@
 
 fn firsts(fleet: &Fleet, limits: Limits) -> Vec<String> {
     let first = |draw: u64| {
-        let cx = Circumstance {
+        let cx = SelectionContext {
             draw: draw.wrapping_mul(0x9E37_79B9_7F4A_7C15),
             limits,
             ..cx(&[])
--- a/reachtally-core/tests/core/forward/notice.rs
+++ b/reachtally-core/tests/core/forward/notice.rs
@@ -5,7 +5,7 @@
 use reachtally_core::Instant;
 use reachtally_core::forward::fleet::{EngineKey, Entry, EntrySource, Fleet, TargetRun};
 use reachtally_core::forward::select::{
-    Circumstance, Shortage, path, served_after_back_off, shortage,
+    NoPathReasons, SelectionContext, earliest_after_back_off, no_path_reasons, path,
 };
 
 use super::setup::{NEED, SERVICE, cx, entry, fleet, instance, model, run_entry};
@@ -123,7 +123,7 @@
         entry(1, "a", "large", 40..80),
     ]);
     let first = |fleet: &Fleet, now| -> Option<EngineKey> {
-        let cx = Circumstance { now, ..cx(&[]) };
+        let cx = SelectionContext { now, ..cx(&[]) };
         let choice = path(fleet, SERVICE, &model(), NEED, &cx)?;
         Some(choice.path.engines()[0])
     };
@@ -144,7 +144,7 @@
 fn an_instance_that_wants_rest_is_not_the_last_resort() {
     let (mut fleet, keys) = fleet([entry(0, "a", "small", 0..8)]);
     let chosen =
-        |fleet: &Fleet, now| instance(fleet, SERVICE, 10, &Circumstance { now, ..cx(&[]) });
+        |fleet: &Fleet, now| instance(fleet, SERVICE, 10, &SelectionContext { now, ..cx(&[]) });
     ask_for_rest(&mut fleet, &entry(0, "a", "small", 0..8).run(), at(9_000));
     assert_eq!(chosen(&fleet, at(1_000)), None);
     assert_eq!(chosen(&fleet, at(9_000)), Some(keys[0]));
@@ -158,7 +158,7 @@
         entry(2, "a", "large", 0..40),
     ]);
     let serves = |now| now >= at(7_000);
-    let back = |fleet: &Fleet| served_after_back_off(fleet, SERVICE, at(0), serves);
+    let back = |fleet: &Fleet| earliest_after_back_off(fleet, SERVICE, at(0), serves);
     assert_eq!(back(&fleet), None);
     ask_for_rest(&mut fleet, &entry(0, "a", "large", 0..40).run(), at(5_000));
     assert_eq!(back(&fleet), None);
@@ -166,7 +166,7 @@
     assert_eq!(back(&fleet), Some(at(8_000)));
     // Where it can be served at once, rest is not the reason.
     assert_eq!(
-        served_after_back_off(&fleet, SERVICE, at(0), |_| true),
+        earliest_after_back_off(&fleet, SERVICE, at(0), |_| true),
         None
     );
 }
@@ -178,10 +178,10 @@
         entry(1, "a", "large", 40..80),
     ]);
     ask_for_rest(&mut fleet, &entry(0, "a", "large", 0..40).run(), at(9_000));
-    let found = shortage(&fleet, SERVICE, &model(), NEED, &cx(&[]));
-    let resting = Shortage {
+    let found = no_path_reasons(&fleet, SERVICE, &model(), NEED, &cx(&[]));
+    let resting = NoPathReasons {
         backing_off: 1,
-        ..Shortage::default()
+        ..NoPathReasons::default()
     };
     assert_eq!(found, resting);
 }
--- a/reachtally-core/tests/core/forward/path.rs
+++ b/reachtally-core/tests/core/forward/path.rs
@@ -1,11 +1,11 @@
 //! A path runs every layer once and in order, or it is none.
 
 use reachtally_core::forward::cost::Layers;
-use reachtally_core::forward::path::{NotAPath, Part, Path};
+use reachtally_core::forward::path::{Part, Path, PathError};
 
 use super::setup::{entry, fleet};
 
-fn prove(ranges: &[Layers]) -> Result<Path, NotAPath> {
+fn try_new(ranges: &[Layers]) -> Result<Path, PathError> {
     let entries = (0..ranges.len()).map(|n| entry(n as u16, "a", "small", ranges[n].clone()));
     let (fleet, keys) = fleet(entries);
     let parts = keys.iter().map(|key| {
@@ -16,46 +16,55 @@
             layers: engine.entry.layers.clone(),
         }
     });
-    Path::prove(parts.collect(), 80)
+    Path::try_new(parts.collect(), 80)
 }
 
 #[test]
 fn contiguous_parts_from_first_to_last_layer_are_a_path() {
-    let path = prove(&[0..20, 20..50, 50..80]).expect("it is whole");
+    let path = try_new(&[0..20, 20..50, 50..80]).expect("it is whole");
     assert_eq!(path.engines().len(), 3);
     assert_eq!(path.first().layers, 0..20);
 }
 
 #[test]
 fn gaps_overlaps_and_empty_parts_are_refused() {
-    assert_eq!(prove(&[0..20, 21..80]), Err(NotAPath::Broken { at: 20 }));
-    assert_eq!(prove(&[0..20, 19..80]), Err(NotAPath::Broken { at: 20 }));
     assert_eq!(
-        prove(&[0..20, 20..20, 20..80]),
-        Err(NotAPath::Broken { at: 20 })
+        try_new(&[0..20, 21..80]),
+        Err(PathError::Discontinuous { at: 20 })
+    );
+    assert_eq!(
+        try_new(&[0..20, 19..80]),
+        Err(PathError::Discontinuous { at: 20 })
+    );
+    assert_eq!(
+        try_new(&[0..20, 20..20, 20..80]),
+        Err(PathError::Discontinuous { at: 20 })
+    );
+    assert_eq!(
+        try_new(&[1..40, 40..80]),
+        Err(PathError::Discontinuous { at: 0 })
     );
-    assert_eq!(prove(&[1..40, 40..80]), Err(NotAPath::Broken { at: 0 }));
 }
 
 #[test]
 fn a_path_that_ends_early_or_late_is_refused() {
     assert_eq!(
-        prove(&[0..20, 20..79]),
-        Err(NotAPath::Incomplete { end: 79 })
+        try_new(&[0..20, 20..79]),
+        Err(PathError::Incomplete { end: 79 })
     );
     assert_eq!(
-        prove(&[0..40, 40..81]),
-        Err(NotAPath::Incomplete { end: 81 })
+        try_new(&[0..40, 40..81]),
+        Err(PathError::Incomplete { end: 81 })
     );
-    assert_eq!(prove(&[]), Err(NotAPath::Empty));
+    assert_eq!(try_new(&[]), Err(PathError::Empty));
 }
 
 #[test]
 fn an_engine_twice_or_too_many_parts_are_refused() {
-    let path = prove(&[0..20, 20..80]).expect("it is whole");
+    let path = try_new(&[0..20, 20..80]).expect("it is whole");
     let mut parts = path.parts().to_vec();
     parts[1].engine = parts[0].engine;
-    assert_eq!(Path::prove(parts, 80), Err(NotAPath::Repeated));
+    assert_eq!(Path::try_new(parts, 80), Err(PathError::DuplicateEngine));
     let many: Vec<Layers> = (0..33).map(|n| n..n + 1).collect();
-    assert_eq!(prove(&many), Err(NotAPath::TooLong));
+    assert_eq!(try_new(&many), Err(PathError::TooLong));
 }
--- a/reachtally-core/tests/core/forward/repair.rs
+++ b/reachtally-core/tests/core/forward/repair.rs
@@ -7,7 +7,7 @@
 use reachtally_core::forward::cost::Layers;
 use reachtally_core::forward::fleet::{EngineKey, Entry, Fleet};
 use reachtally_core::forward::path::{Part, Path};
-use reachtally_core::forward::select::{Choice, Circumstance, repair};
+use reachtally_core::forward::select::{Choice, SelectionContext, repair};
 
 use super::setup::{NEED, SERVICE, cx, entry, fleet, model};
 
@@ -21,14 +21,14 @@
             layers: entry.layers.clone(),
         }
     });
-    Path::prove(parts.collect(), 80).expect("it is whole")
+    Path::try_new(parts.collect(), 80).expect("it is whole")
 }
 
 fn repaired(
     fleet: &Fleet,
     current: &Path,
     dead: &[EngineKey],
-    cx: Circumstance<'_>,
+    cx: SelectionContext<'_>,
 ) -> Option<Choice> {
     repair(fleet, SERVICE, &model(), NEED, &cx, current, dead)
 }
@@ -109,7 +109,7 @@
         let current = path_over(&fleet, &keys[..4]);
         let dead = named(&keys[..4], dead);
         let avoid = [named(&keys[4..8], avoid as u8), named(&keys[8..], (avoid >> 8) as u8)].concat();
-        let choice = repaired(&fleet, &current, &dead, Circumstance { draw, ..cx(&avoid) });
+        let choice = repaired(&fleet, &current, &dead, SelectionContext { draw, ..cx(&avoid) });
         let has_stand_in = |key: &EngineKey| {
             let at = keys.iter().position(|other| other == key).expect("it is one of them");
             [at + 4, at + 8].iter().any(|at| !avoid.contains(&keys[*at]))
@@ -118,7 +118,7 @@
         prop_assert_eq!(choice.is_some(), is_expected);
         let Some(choice) = choice else { return Ok(()) };
         let parts = choice.path.parts();
-        prop_assert!(Path::prove(parts.to_vec(), 80).is_ok());
+        prop_assert!(Path::try_new(parts.to_vec(), 80).is_ok());
         for (part, before) in parts.iter().zip(current.parts()) {
             prop_assert!(!dead.contains(&part.engine) && !avoid.contains(&part.engine));
             prop_assert!(part == before || dead.contains(&before.engine));
--- a/reachtally-core/tests/core/forward/select.rs
+++ b/reachtally-core/tests/core/forward/select.rs
@@ -6,7 +6,9 @@
 use reachtally_core::Instant;
 use reachtally_core::forward::cost::LayerModel;
 use reachtally_core::forward::fleet::{EngineKey, Entry, EntrySource, Fleet};
-use reachtally_core::forward::select::{Aim, Choice, Circumstance, Need, Shortage, path, shortage};
+use reachtally_core::forward::select::{
+    Choice, LatencyObjectives, NoPathReasons, Requirements, SelectionContext, no_path_reasons, path,
+};
 
 use super::setup::{AIM, NEED, SERVICE, cx, entry, fleet, instance, model};
 
@@ -32,10 +34,14 @@
 }
 
 /// Of 1,000 requests, how many have each engine as their first.
-fn first_engines(fleet: &Fleet, need: Need, cx: Circumstance<'_>) -> HashMap<EngineKey, u32> {
+fn first_engines(
+    fleet: &Fleet,
+    need: Requirements,
+    cx: SelectionContext<'_>,
+) -> HashMap<EngineKey, u32> {
     let mut firsts = HashMap::new();
     for draw in 0..1000 {
-        let cx = Circumstance { draw, ..cx };
+        let cx = SelectionContext { draw, ..cx };
         let choice = path(fleet, SERVICE, &model(), need, &cx).expect("there is a path");
         *firsts.entry(choice.path.engines()[0]).or_default() += 1;
     }
@@ -43,7 +49,7 @@
 }
 
 /// Requests of 1,000 whose first engine is `key`.
-fn share_of(fleet: &Fleet, key: EngineKey, need: Need, cx: Circumstance<'_>) -> u32 {
+fn share_of(fleet: &Fleet, key: EngineKey, need: Requirements, cx: SelectionContext<'_>) -> u32 {
     let firsts = first_engines(fleet, need, cx);
     firsts.get(&key).copied().unwrap_or_default()
 }
@@ -256,10 +262,10 @@
 #[test]
 fn a_request_larger_than_an_engine_is_not_sent_there() {
     let (fleet, _) = two_domains();
-    let huge = Need {
+    let huge = Requirements {
         prompt: 60_000.0,
         answer: 1.0,
-        aim: AIM,
+        objectives: AIM,
     };
     assert!(path(&fleet, SERVICE, &model(), huge, &cx(&[])).is_none());
 }
@@ -271,10 +277,10 @@
         entry(1, "b", "middle", 38..55),
         entry(2, "c", "large", 55..80),
     ]);
-    let small = Need {
+    let small = Requirements {
         prompt: 100.0,
         answer: 10.0,
-        aim: AIM,
+        objectives: AIM,
     };
     let choice = path(&fleet, SERVICE, &model(), small, &cx(&[])).expect("together they are whole");
     assert_eq!(choice.path.engines(), keys);
@@ -288,7 +294,7 @@
     let (mut fleet, keys) =
         fleet(entries.map(|(domain, number)| entry(number, domain, "small", 0..0)));
     let chosen = |fleet: &Fleet| -> BTreeSet<EngineKey> {
-        let of = |draw| instance(fleet, SERVICE, 10, &Circumstance { draw, ..cx(&[]) });
+        let of = |draw| instance(fleet, SERVICE, 10, &SelectionContext { draw, ..cx(&[]) });
         (0..50).filter_map(of).collect()
     };
     let home = BTreeSet::from_iter(keys[1..5].iter().copied());
@@ -344,7 +350,7 @@
     let (fleet, keys) = two_domains();
     let expected: Vec<(Duration, Duration)> = (0..50)
         .filter_map(|draw| {
-            let cx = Circumstance {
+            let cx = SelectionContext {
                 draw,
                 ..cx(&keys[4..])
             };
@@ -380,12 +386,12 @@
 #[test]
 fn a_shortage_tells_for_each_domain_what_it_lacks() {
     let (mut fleet, keys) = two_domains();
-    let told = |fleet: &Fleet| shortage(fleet, SERVICE, &model(), NEED, &cx(&[]));
-    assert_eq!(told(&fleet), Shortage::default());
+    let told = |fleet: &Fleet| no_path_reasons(fleet, SERVICE, &model(), NEED, &cx(&[]));
+    assert_eq!(told(&fleet), NoPathReasons::default());
     fleet.begin(&keys[1..2], 96_000.0);
-    let full = Shortage {
+    let full = NoPathReasons {
         full: 1,
-        ..Shortage::default()
+        ..NoPathReasons::default()
     };
     assert_eq!(told(&fleet), full);
     let now = Instant::from_elapsed(Duration::from_secs(1));
@@ -393,13 +399,13 @@
     row.health.mark_dead(now);
     assert_eq!(
         told(&fleet),
-        Shortage {
+        NoPathReasons {
             unusable: 1,
             ..full
         }
     );
     fleet.remove("e9", Instant::ZERO);
-    assert_eq!(told(&fleet), Shortage { gap: 1, ..full });
+    assert_eq!(told(&fleet), NoPathReasons { gap: 1, ..full });
 }
 
 #[test]
@@ -411,7 +417,7 @@
         engine.health.refused(refused_at);
     }
     assert!(choose(&fleet, &[]).is_none());
-    let later = Circumstance {
+    let later = SelectionContext {
         now: refused_at + Duration::from_millis(200),
         ..cx(&[])
     };
@@ -424,8 +430,11 @@
 fn a_box_that_is_told_of_no_others_yet_takes_them_to_do_as_it_does() {
     let (mut fleet, keys) = two_beginnings();
     fleet.begin(&keys[0..1], NEED.held());
-    let share = |unheard: f64| {
-        let cx = Circumstance { unheard, ..cx(&[]) };
+    let share = |load_scale: f64| {
+        let cx = SelectionContext {
+            load_scale,
+            ..cx(&[])
+        };
         share_of(&fleet, keys[0], NEED, cx)
     };
     assert!(share(1.0) > 400, "{}", share(1.0));
@@ -450,17 +459,17 @@
         LayerModel {
             read_per_s: 0.0,
             slots: 0,
-            usual_answer: 0.0,
+            mean_answer_tokens: 0.0,
             ..model()
         },
     ] {
         let none = path(&fleet, SERVICE, &empty, NEED, &cx(&[]));
         assert!(none.is_none() || empty.layers > 0);
     }
-    let nothing = Need {
+    let nothing = Requirements {
         prompt: 0.0,
         answer: 0.0,
-        aim: Aim {
+        objectives: LatencyObjectives {
             first_ms: Some(0.0),
             gap_ms: Some(0.0),
         },
@@ -478,12 +487,12 @@
         entry(4, "a", "middle", 57..80),
         entry(5, "a", "middle", 60..80),
     ]);
-    let need = Need {
+    let need = Requirements {
         prompt: 400.0,
         answer: 100.0,
-        aim: Aim::default(),
+        objectives: LatencyObjectives::default(),
     };
-    let cx = Circumstance { boxes, ..cx(&[]) };
+    let cx = SelectionContext { boxes, ..cx(&[]) };
     share_of(&fleet, keys[0], need, cx)
 }
 
--- a/reachtally-core/tests/core/forward/setup.rs
+++ b/reachtally-core/tests/core/forward/setup.rs
@@ -7,33 +7,35 @@
 use reachtally_core::forward::cost::{Card, LayerModel, Layers};
 use reachtally_core::forward::fleet::{EngineKey, Entry, EntrySource, Fleet, StartTime};
 use reachtally_core::forward::placement::Host;
-use reachtally_core::forward::select::{self, Aim, Circumstance, Limits, Need};
+use reachtally_core::forward::select::{
+    self, LatencyObjectives, Limits, Requirements, SelectionContext,
+};
 
 /// The service of all engines here.
 pub const SERVICE: &str = "pool";
 
 /// What answers should keep to.
-pub const AIM: Aim = Aim {
+pub const AIM: LatencyObjectives = LatencyObjectives {
     first_ms: Some(500.0),
     gap_ms: Some(200.0),
 };
 
 /// A usual request.
-pub const NEED: Need = Need {
+pub const NEED: Requirements = Requirements {
     prompt: 800.0,
     answer: 200.0,
-    aim: AIM,
+    objectives: AIM,
 };
 
 /// A box of domain `a` that knows all others.
-pub fn cx(avoid: &[EngineKey]) -> Circumstance<'_> {
-    Circumstance {
+pub fn cx(avoid: &[EngineKey]) -> SelectionContext<'_> {
+    SelectionContext {
         now: Instant::from_elapsed(Duration::from_secs(1)),
         home: "a",
         avoid,
         held: Duration::from_secs(3),
         boxes: 1,
-        unheard: 1.0,
+        load_scale: 1.0,
         draw: 0,
         limits: Limits::Enforced,
     }
@@ -62,8 +64,8 @@
         stride: 3.0,
         chunk: 0.0,
         slots: 192,
-        usual_prompt: 774.0,
-        usual_answer: 200.0,
+        mean_prompt_tokens: 774.0,
+        mean_answer_tokens: 200.0,
         cards: cards.map(|(name, card)| (name.to_owned(), card)).into(),
     }
 }
@@ -133,7 +135,7 @@
     fleet: &Fleet,
     service: &str,
     most_connections: u32,
-    cx: &Circumstance<'_>,
+    cx: &SelectionContext<'_>,
 ) -> Option<EngineKey> {
     select::instance(fleet, service, most_connections, cx).map(|found| found.engine)
 }
--- a/reachtally-core/tests/core/forward/shares/mod.rs
+++ b/reachtally-core/tests/core/forward/shares/mod.rs
@@ -9,8 +9,9 @@
 use reachtally_core::forward::limit::DemandRate;
 use reachtally_core::forward::quarantine::AccountDigest;
 use reachtally_core::forward::shares::{
-    ACCOUNTS_ANSWERED, ACCOUNTS_OF_BOX, AccountRate, AccountRates, AccountShares, Aggregator,
-    Believed, Crossing, Group, LEAST_SERVED, ServiceRates, ServiceShare, Standing, Usage, max_min,
+    AccountRate, AccountRates, AccountShares, Aggregator, EnforcedShares, Group,
+    MAX_ACCOUNTS_PER_ANSWER, MAX_ACCOUNTS_PER_BOX, MIN_SERVED_FRACTION, ServiceRates, ServiceShare,
+    ShareTransition, Standing, Usage, max_min,
 };
 use reachtally_core::ids::Incarnation;
 
@@ -87,12 +88,12 @@
         let offered: f64 = each.iter().sum();
         let told = shared(&each, offered * part);
         let last = each.len() as u32 - 1;
-        if told.accounts.len() < ACCOUNTS_ANSWERED {
+        if told.accounts.len() < MAX_ACCOUNTS_PER_ANSWER {
             prop_assert_eq!(fraction(&told, last), fraction(&told, (twin % (each.len() - 1)) as u32));
         }
         prop_assert!(told.accounts.iter().all(|each| (0.0..=1.0).contains(&each.fraction)));
         let share = told.share.map_or(f64::MAX, DemandRate::per_second);
-        let mut believed = Believed::default();
+        let mut believed = EnforcedShares::default();
         believed.update(AccountShares { number: 1, services: vec![told] }, at(0));
         for (number, rate) in (0..).zip(&each) {
             let standing = believed.standing(SERVICE, account(number), draw, at(1));
@@ -107,15 +108,15 @@
     each.push(50.0);
     let told = shared(&each, 50.0);
     let served = fraction(&told, 10).expect("it is above the share");
-    assert!(served >= 0.5 * LEAST_SERVED, "{served}");
+    assert!(served >= 0.5 * MIN_SERVED_FRACTION, "{served}");
 }
 
 /// The answer lists a bounded number of accounts; those that it left out would have kept everything.
 #[test]
 fn of_more_equal_accounts_than_are_listed_none_is_limited() {
-    let even = shared(&[100.0; ACCOUNTS_ANSWERED + 8], 2_000.0);
+    let even = shared(&[100.0; MAX_ACCOUNTS_PER_ANSWER + 8], 2_000.0);
     assert_eq!(even.accounts, []);
-    let mut each = [100.0; ACCOUNTS_ANSWERED + 8];
+    let mut each = [100.0; MAX_ACCOUNTS_PER_ANSWER + 8];
     each[3] = 750.0;
     let told = shared(&each, 2_000.0);
     assert_eq!(told.accounts.len(), 1);
@@ -179,11 +180,11 @@
         number,
         services: vec![share.clone()],
     };
-    let mut believed = Believed::default();
+    let mut believed = EnforcedShares::default();
     believed.update(answer(5, &told), at(0));
     believed.update(answer(4, &none), at(100));
-    assert_eq!(believed.accounts_beyond(at(1_499)), 1);
-    let beyond = |believed: &Believed, ms| {
+    assert_eq!(believed.accounts_above_share(at(1_499)), 1);
+    let beyond = |believed: &EnforcedShares, ms| {
         let draws = (0..100).map(|draw| u64::wrapping_mul(draw, 0x1234_5678_9ABC_DEF1));
         let mut standings = draws.map(|draw| believed.standing(SERVICE, account(1), draw, at(ms)));
         standings.any(|each| each == Standing::Beyond)
@@ -209,7 +210,7 @@
         aggregator.update(rates(1, number, &[20.0, 20.0, flood], 60.0), ip(1), now);
         crossings.extend(aggregator.update_totals(now));
     }
-    let beyond = |crossing| matches!(crossing, Crossing::Beyond { .. });
+    let beyond = |crossing| matches!(crossing, ShareTransition::Beyond { .. });
     let told = crossings
         .iter()
         .map(|each| (each.account, beyond(each.crossing)));
@@ -230,7 +231,7 @@
     }
     usage.note_contended(&service, at(2_000));
     let told = usage.rates(|_| false, at(2_000)).remove(0);
-    assert_eq!(told.accounts.len(), ACCOUNTS_OF_BOX);
+    assert_eq!(told.accounts.len(), MAX_ACCOUNTS_PER_BOX);
     let largest: Vec<u32> = told.accounts[..5]
         .iter()
         .map(|each| each.account.0)
--- a/reachtally-core/tests/core/forward/shares/play.rs
+++ b/reachtally-core/tests/core/forward/shares/play.rs
@@ -23,7 +23,7 @@
 #[derive(Default)]
 struct BoxState {
     usage: Usage,
-    believed: Believed,
+    believed: EnforcedShares,
     number: u64,
 }
 
@@ -190,7 +190,7 @@
             let services = self.collectors[domain].shares().to_vec();
             let shares = AccountShares { number, services };
             self.boxes[place].believed.update(shares, now);
-            if self.boxes[place].believed.accounts_beyond(now) > 0 {
+            if self.boxes[place].believed.accounts_above_share(now) > 0 {
                 self.told[place].get_or_insert(self.now);
             }
         }
--- a/reachtally-core/tests/core/forward/stall.rs
+++ b/reachtally-core/tests/core/forward/stall.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use reachtally_core::Instant;
-use reachtally_core::forward::stall::{Gaps, LEAST_SILENCE, Progress};
+use reachtally_core::forward::stall::{EventGaps, MIN_SILENCE, Progress};
 
 use super::setup::{entry, fleet};
 
@@ -28,16 +28,16 @@
 }
 
 fn after(gap: u64, noted: &[u64]) -> Duration {
-    let mut gaps = Gaps::expected(Duration::from_millis(gap));
+    let mut gaps = EventGaps::expected(Duration::from_millis(gap));
     for ms in noted {
         gaps.note(Duration::from_millis(*ms));
     }
-    gaps.overdue_after()
+    gaps.silence_timeout()
 }
 
 #[test]
 fn a_stream_is_overdue_by_its_own_pace_but_never_at_once() {
-    assert_eq!(after(1, &[]), LEAST_SILENCE);
+    assert_eq!(after(1, &[]), MIN_SILENCE);
     assert_eq!(after(100, &[]), Duration::from_millis(200));
 }
 
@@ -62,9 +62,9 @@
 #[test]
 fn the_silence_of_all_streams_counts_before_that_of_one() {
     for gap_ms in [5, 45, 80, 400] {
-        let gaps = Gaps::expected(Duration::from_millis(gap_ms));
-        assert!(gaps.due_after() <= gaps.overdue_after());
-        assert!(gaps.due_after() >= LEAST_SILENCE);
-        assert!(gaps.due_after() >= Duration::from_millis(gap_ms * 3 / 2));
+        let gaps = EventGaps::expected(Duration::from_millis(gap_ms));
+        assert!(gaps.shared_silence_timeout() <= gaps.silence_timeout());
+        assert!(gaps.shared_silence_timeout() >= MIN_SILENCE);
+        assert!(gaps.shared_silence_timeout() >= Duration::from_millis(gap_ms * 3 / 2));
     }
 }
--- a/reachtally-protocol/src/shares.rs
+++ b/reachtally-protocol/src/shares.rs
@@ -4,8 +4,8 @@
 use reachtally_core::forward::limit::DemandRate;
 use reachtally_core::forward::quarantine::AccountDigest;
 use reachtally_core::forward::shares::{
-    ACCOUNTS_OF_DOMAIN, AccountFraction, AccountRate, AccountRates, AccountShares, MOST_SERVICES,
-    ServiceRates, ServiceShare,
+    AccountFraction, AccountRate, AccountRates, AccountShares, MAX_ACCOUNTS_PER_DOMAIN,
+    MAX_SERVICES, ServiceRates, ServiceShare,
 };
 use reachtally_core::ids::Incarnation;
 
@@ -116,7 +116,7 @@
 }
 
 pub(crate) fn rates_from_wire(rates: relay::AccountRates) -> AccountRates {
-    let services = rates.services.into_iter().take(MOST_SERVICES);
+    let services = rates.services.into_iter().take(MAX_SERVICES);
     AccountRates {
         run: Incarnation(rates.run),
         number: rates.number,
@@ -137,7 +137,10 @@
         offered: rate_from_milli(rates.offered_milli),
         admitted: rate_from_milli(rates.admitted_milli),
         count: rates.count,
-        accounts: accounts.take(ACCOUNTS_OF_DOMAIN).map(account).collect(),
+        accounts: accounts
+            .take(MAX_ACCOUNTS_PER_DOMAIN)
+            .map(account)
+            .collect(),
     }
 }
 
@@ -164,7 +167,7 @@
 }
 
 pub(crate) fn shares_from_wire(shares: relay::AccountShares) -> AccountShares {
-    let services = shares.services.into_iter().take(MOST_SERVICES);
+    let services = shares.services.into_iter().take(MAX_SERVICES);
     AccountShares {
         number: shares.number,
         services: services.map(service_share_from_wire).collect(),
@@ -180,6 +183,9 @@
     ServiceShare {
         service: share.service.into(),
         share: share.share_milli.map(rate_from_milli),
-        accounts: accounts.take(ACCOUNTS_OF_DOMAIN).map(account).collect(),
+        accounts: accounts
+            .take(MAX_ACCOUNTS_PER_DOMAIN)
+            .map(account)
+            .collect(),
     }
 }
--- a/reachtally-protocol/tests/protocol/shares.rs
+++ b/reachtally-protocol/tests/protocol/shares.rs
@@ -5,8 +5,8 @@
 use reachtally_core::forward::loads::Message;
 use reachtally_core::forward::quarantine::AccountDigest;
 use reachtally_core::forward::shares::{
-    ACCOUNTS_ANSWERED, ACCOUNTS_OF_BOX, ACCOUNTS_OF_DOMAIN, AccountFraction, AccountRate,
-    AccountRates, AccountShares, MOST_SERVICES, ServiceRates, ServiceShare,
+    AccountFraction, AccountRate, AccountRates, AccountShares, MAX_ACCOUNTS_PER_ANSWER,
+    MAX_ACCOUNTS_PER_BOX, MAX_ACCOUNTS_PER_DOMAIN, MAX_SERVICES, ServiceRates, ServiceShare,
 };
 use reachtally_core::ids::Incarnation;
 use reachtally_protocol::load::{self, MESSAGE_MAX};
@@ -35,7 +35,7 @@
 }
 
 fn shares(services: usize) -> AccountShares {
-    let accounts = (0..ACCOUNTS_ANSWERED as u32).map(|number| AccountFraction {
+    let accounts = (0..MAX_ACCOUNTS_PER_ANSWER as u32).map(|number| AccountFraction {
         account: AccountDigest(number),
         fraction: 0.125,
     });
@@ -60,8 +60,8 @@
 /// What did not fit a datagram would be left out of every report.
 #[test]
 fn pages_come_back_whole_and_fit_a_datagram() {
-    let from_box = rates(None, MOST_SERVICES, ACCOUNTS_OF_BOX, 7.125);
-    let from_collector = rates(Some("north"), MOST_SERVICES, ACCOUNTS_OF_DOMAIN, 1e6);
+    let from_box = rates(None, MAX_SERVICES, MAX_ACCOUNTS_PER_BOX, 7.125);
+    let from_collector = rates(Some("north"), MAX_SERVICES, MAX_ACCOUNTS_PER_DOMAIN, 1e6);
     for sent in [from_box, from_collector] {
         let mut services = Vec::new();
         for page in pages_of_rates(&sent) {
@@ -71,7 +71,7 @@
         }
         assert_eq!(services, sent.services);
     }
-    let sent = shares(MOST_SERVICES);
+    let sent = shares(MAX_SERVICES);
     let mut services = Vec::new();
     for page in pages_of_shares(&sent) {
         let received = round_trip(Message::AccountShares(page.clone()));
@@ -86,7 +86,7 @@
     round_trip(Message::AccountRates(rates(
         None,
         200,
-        ACCOUNTS_OF_DOMAIN,
+        MAX_ACCOUNTS_PER_DOMAIN,
         1e6,
     )));
     round_trip(Message::AccountRates(rates(None, 2, 1_000, 1e6)));
@@ -98,9 +98,14 @@
 
 #[test]
 fn the_largest_message_of_a_box_with_one_service_is_small() {
-    let report = load::encode(&Message::AccountRates(rates(None, 1, ACCOUNTS_OF_BOX, 9.5)));
+    let report = load::encode(&Message::AccountRates(rates(
+        None,
+        1,
+        MAX_ACCOUNTS_PER_BOX,
+        9.5,
+    )));
     let answer = load::encode(&Message::AccountShares(shares(1)));
-    let sums = rates(Some("north"), 1, ACCOUNTS_OF_DOMAIN, 500.0);
+    let sums = rates(Some("north"), 1, MAX_ACCOUNTS_PER_DOMAIN, 500.0);
     let sums = load::encode(&Message::AccountRates(sums));
     assert!(report.len() <= 250 && answer.len() <= 250 && sums.len() <= 550);
 }
--- a/reachtally-relay/src/admission.rs
+++ b/reachtally-relay/src/admission.rs
@@ -8,9 +8,9 @@
 
 use reachtally_core::Instant;
 use reachtally_core::forward::admission::{
-    Booking, Bounds, Class, Conditions, Entrant, Full, Mix, Offer, Order, Pacer, Queue, REACTION,
-    Rank, Retry, Returns, Running, Schedule, Standing, Verdict, admit, instance_offer,
-    no_connection_offer, patience,
+    Bounds, Class, Conditions, Mix, Offer, OverbookingLimit, Pacer, Queue, QueueFull,
+    QueuePosition, QueuedRequest, REACTION, Rank, RefusedRequests, Retry, RetrySchedule, Running,
+    Standing, Verdict, admit, instance_offer, no_connection_offer, patience,
 };
 use reachtally_core::forward::routes::{Table, Urgency};
 use reachtally_core::forward::select::Instance;
@@ -45,9 +45,9 @@
     /// Shortest objective of the routes to the service.
     objective: Option<Duration>,
     mix: Mix,
-    booking: Booking,
+    booking: OverbookingLimit,
     pacer: Pacer,
-    schedule: Schedule,
+    schedule: RetrySchedule,
     /// Average run time of requests, for plain services.
     run_time: Option<Duration>,
 }
@@ -85,7 +85,7 @@
 pub(crate) struct Admission {
     services: RefCell<HashMap<Arc<str>, ServiceState>>,
     queue: RefCell<Queue<Rc<Waiter>>>,
-    returns: RefCell<Returns>,
+    returns: RefCell<RefusedRequests>,
     /// Time at which loads of other boxes were last received.
     loads_at: Cell<Option<Instant>>,
 }
@@ -258,8 +258,8 @@
             .offered
             .get_or_create(&rank_label(&request))
             .inc();
-        if self.is_return(call) {
-            request.class.is_return = true;
+        if self.is_retry(call) {
+            request.class.is_retry = true;
         }
         match self.evaluate(&request, first, None) {
             Verdict::Admit => {
@@ -282,7 +282,7 @@
             rank,
             standing: self.standing(service, call.account.as_deref(), call.draw, now),
             is_resumed: call.head.last_event.is_some(),
-            is_return: false,
+            is_retry: false,
         };
         let request = ClassifiedRequest { call, class, ranks };
         let classes = request.ranks + 1;
@@ -299,7 +299,7 @@
     }
 
     /// Returns whether this box refused the request before and the caller retries no earlier than it was asked to.
-    fn is_return(&self, call: &Call) -> bool {
+    fn is_retry(&self, call: &Call) -> bool {
         let mut returns = self.admission.returns.borrow_mut();
         !returns.is_empty() && returns.take(call.fingerprint(), self.now())
     }
@@ -309,7 +309,7 @@
         &self,
         request: &ClassifiedRequest<'_>,
         offer: Offer,
-        order: Option<&Order>,
+        order: Option<&QueuePosition>,
     ) -> Verdict {
         let call = request.call;
         let service = &call.service_name;
@@ -453,7 +453,7 @@
         let used = (offer.used * 1000.0).round() / 1000.0;
         log::info!(
             event = "admission", id = &*call.head.id, service = &*call.service_name, rank = class.rank.0, standing:? = class.standing,
-            account = call.account.as_deref().unwrap_or_default(), returns = class.is_return, used = used, age_ms:? = age, first_ms = ms(offer.first),
+            account = call.account.as_deref().unwrap_or_default(), returns = class.is_retry, used = used, age_ms:? = age, first_ms = ms(offer.first),
             waited_ms = ms(now.since(call.arrived)), retry_ms:? = retry.map(ms), verdict = verdict;
             "request waited for capacity or was refused"
         );
@@ -469,15 +469,15 @@
 struct QueueSlot {
     relay: Rc<Relay>,
     service: Arc<str>,
-    order: Order,
+    order: QueuePosition,
     waiter: Rc<Waiter>,
 }
 
 impl QueueSlot {
-    fn join(relay: &Rc<Relay>, request: &ClassifiedRequest<'_>) -> Result<QueueSlot, Full> {
+    fn join(relay: &Rc<Relay>, request: &ClassifiedRequest<'_>) -> Result<QueueSlot, QueueFull> {
         let call = request.call;
         let waiter = Rc::new(Waiter::default());
-        let entrant = Entrant {
+        let entrant = QueuedRequest {
             service: call.service_name.clone(),
             is_resumed: request.class.is_resumed,
             position: request.position(),
--- a/reachtally-relay/src/relay.rs
+++ b/reachtally-relay/src/relay.rs
@@ -464,14 +464,14 @@
         settings: &'a Settings,
         avoid: &'a [EngineKey],
         draw: u64,
-    ) -> select::Circumstance<'a> {
-        select::Circumstance {
+    ) -> select::SelectionContext<'a> {
+        select::SelectionContext {
             now: self.now(),
             home: &settings.domain,
             avoid,
             held: self.mean_run_time.get(),
             boxes: self.boxes(),
-            unheard: self.unreported_load_factor(),
+            load_scale: self.unreported_load_factor(),
             draw,
             limits: select::Limits::Enforced,
         }
@@ -483,14 +483,14 @@
         &self,
         service: &str,
         draw: u64,
-        can_serve: impl Fn(&Fleet, &select::Circumstance<'_>) -> bool,
+        can_serve: impl Fn(&Fleet, &select::SelectionContext<'_>) -> bool,
     ) -> Option<Duration> {
         let settings = self.settings.borrow();
         let fleet = self.fleet.borrow();
         let cx = self.circumstance(&settings, &[], draw);
         let limits = select::Limits::Ignored;
-        let can_serve = |now| can_serve(&fleet, &select::Circumstance { now, limits, ..cx });
-        let end = select::served_after_back_off(&fleet, service, cx.now, can_serve)?;
+        let can_serve = |now| can_serve(&fleet, &select::SelectionContext { now, limits, ..cx });
+        let end = select::earliest_after_back_off(&fleet, service, cx.now, can_serve)?;
         Some(end.since(cx.now))
     }
 
@@ -501,7 +501,7 @@
         };
         let settings = self.settings.borrow();
         let fleet = self.fleet.borrow();
-        let cx = select::Circumstance {
+        let cx = select::SelectionContext {
             limits: select::Limits::Ignored,
             ..self.circumstance(&settings, &[], 0)
         };
@@ -510,10 +510,10 @@
             .iter()
             .any(|(name, service)| match &service.model {
                 Some(model) => {
-                    let need = select::Need {
+                    let need = select::Requirements {
                         prompt: 1.0,
                         answer: 1.0,
-                        aim: select::Aim::default(),
+                        objectives: select::LatencyObjectives::default(),
                     };
                     select::path(&fleet, name, model, need, &cx).is_some()
                 }
--- a/reachtally-relay/src/shares.rs
+++ b/reachtally-relay/src/shares.rs
@@ -6,7 +6,7 @@
 use reachtally_core::Instant;
 use reachtally_core::forward::quarantine::AccountDigest;
 use reachtally_core::forward::shares::{
-    AccountShares, Believed, Change, Crossing, ServiceRates, Standing, Usage,
+    AccountShares, EnforcedShares, ServiceRates, ShareChange, ShareTransition, Standing, Usage,
 };
 use tokio::sync::Notify;
 
@@ -16,7 +16,7 @@
 #[derive(Debug, Default)]
 pub(crate) struct ShareState {
     usage: RefCell<Usage>,
-    believed: RefCell<Believed>,
+    believed: RefCell<EnforcedShares>,
     /// Notified when a service becomes contended at this box.
     pub contended: Notify,
 }
@@ -73,7 +73,7 @@
     /// Returns the number of client accounts above their share, as reported to this box.
     pub fn accounts_beyond_share(&self) -> usize {
         let now = self.now();
-        self.shares.believed.borrow().accounts_beyond(now)
+        self.shares.believed.borrow().accounts_above_share(now)
     }
 
     /// Returns the rates of the services that are contended at this or another box.
@@ -94,21 +94,21 @@
     }
 
     /// Logs the accounts whose rate crossed their share in either direction.
-    pub(crate) fn log_crossings(&self, changes: &[Change]) {
+    pub(crate) fn log_crossings(&self, changes: &[ShareChange]) {
         let table = self.configuration.table();
         for change in changes {
             let mut names = table.iter().flat_map(|table| table.account_names());
             let name = names.find(|name| AccountDigest::from(Some(&***name)) == change.account);
             let name = name.map_or("", |name| &**name);
             match change.crossing {
-                Crossing::Beyond {
+                ShareTransition::Beyond {
                     rate,
                     share,
                     fraction,
                 } => {
                     log::info!(event = "account-beyond-share", service = &*change.service, account = name, digest = change.account.0, per_s = rate, share = share, fraction = fraction; "client account exceeds its share of a contended service");
                 }
-                Crossing::Within => {
+                ShareTransition::Within => {
                     log::info!(event = "account-within-share", service = &*change.service, account = name, digest = change.account.0; "client account is within its share again, or the service is no longer contended");
                 }
             }
--- a/reachtally-relay/src/stream/chain.rs
+++ b/reachtally-relay/src/stream/chain.rs
@@ -9,7 +9,7 @@
 use reachtally_core::forward::fleet::EngineKey;
 use reachtally_core::forward::path::Path;
 use reachtally_core::forward::read_ahead::EngineStall;
-use reachtally_core::forward::stall::Gaps;
+use reachtally_core::forward::stall::EventGaps;
 use tokio::sync::watch;
 
 use crate::attempts::Attempts;
@@ -40,7 +40,7 @@
     /// The engine that received the request and sends the answer.
     first: Recipient,
     /// Estimated gap between events: the expected one, updated by the observed ones.
-    gaps: Gaps,
+    gaps: EventGaps,
     timing: Timing,
     backpressure: EngineStall,
     /// Time of the last event, or when waiting for the first one started.
@@ -159,7 +159,7 @@
             connection: Some(connection),
             occupied,
             first,
-            gaps: Gaps::expected(timing.expected_gap),
+            gaps: EventGaps::expected(timing.expected_gap),
             timing,
             backpressure: EngineStall::default(),
             waiting_since: now,
@@ -206,7 +206,7 @@
     /// Starts to wait for an event, with extra time for other prompts that the engines process first.
     pub fn wait_from(&mut self, now: Instant) {
         self.waiting_since = now;
-        self.check_at = now + self.gaps.overdue_after() + FIRST_EVENT_MARGIN;
+        self.check_at = now + self.gaps.silence_timeout() + FIRST_EVENT_MARGIN;
     }
 
     /// Records that reading was paused from `from` until `now`, since the caller took nothing.
@@ -289,7 +289,9 @@
             engines.filter(|key| ended.contains(key)).collect()
         };
         // The next event of this stream is not due yet, and the failed check of another stream may be due to a lost packet.
-        if relay.now() < self.waiting_since + self.gaps.due_after() && !relay.have_ended(&lost) {
+        if relay.now() < self.waiting_since + self.gaps.shared_silence_timeout()
+            && !relay.have_ended(&lost)
+        {
             return Ok(());
         }
         if lost.is_empty() || self.start_repair(relay, call, attempts, &lost) {
@@ -355,7 +357,7 @@
                 if send::can_reroute(relay, call, attempts, &dead) {
                     return Err(StopReason::Dead(dead));
                 }
-                self.check_at = now + self.gaps.overdue_after();
+                self.check_at = now + self.gaps.silence_timeout();
             }
         }
         Ok(())
@@ -371,13 +373,16 @@
         if relay.now() >= call.due {
             return Err(StopReason::DeadlineExceeded);
         }
-        let overdue_at = self.waiting_since + self.gaps.overdue_after();
+        let overdue_at = self.waiting_since + self.gaps.silence_timeout();
         let dead = match relay.now() < overdue_at {
             true => {
-                let silent = relay.silent_on_all_streams(self.engines(), self.gaps.due_after());
+                let silent =
+                    relay.silent_on_all_streams(self.engines(), self.gaps.shared_silence_timeout());
                 relay.find_dead(&silent).await
             }
-            false => find_dead_among_silent(relay, self.engines(), self.gaps.overdue_after()).await,
+            false => {
+                find_dead_among_silent(relay, self.engines(), self.gaps.silence_timeout()).await
+            }
         };
         if !dead.is_empty() && self.start_repair(relay, call, attempts, &dead) {
             return Ok(());
@@ -388,7 +393,7 @@
         let now = relay.now();
         self.check_at = match now < overdue_at {
             true => overdue_at,
-            false => now + self.gaps.overdue_after(),
+            false => now + self.gaps.silence_timeout(),
         };
         Ok(())
     }
@@ -400,7 +405,7 @@
         self.timing.record_event(now, self.waiting_since);
         let gap = now.since(self.waiting_since);
         self.waiting_since = now;
-        self.check_at = now + self.gaps.overdue_after();
+        self.check_at = now + self.gaps.silence_timeout();
         // Data that accumulated while the caller did not read shows neither the speed of the engines nor whether they still run.
         if self.backpressure.is_behind() {
             return;
@@ -410,7 +415,7 @@
             relay.note_slow(self.engines());
         }
         self.gaps.note(gap);
-        self.check_at = now + self.gaps.due_after();
+        self.check_at = now + self.gaps.shared_silence_timeout();
     }
 
     /// Handles the regular end of the body. An incomplete last event shows that the engine did not end the stream intentionally.
--- a/reachtally-relay/src/stream/repair.rs
+++ b/reachtally-relay/src/stream/repair.rs
@@ -8,7 +8,7 @@
 
 use reachtally_core::forward::fleet::EngineKey;
 use reachtally_core::forward::path::Path;
-use reachtally_core::forward::select::{self, Choice, Need};
+use reachtally_core::forward::select::{self, Choice, Requirements};
 
 use crate::attempts::Attempts;
 use crate::exchange::Recipient;
@@ -37,7 +37,7 @@
 pub(super) struct Repair {
     path: Path,
     /// What the request needs of new engines.
-    need: Need,
+    need: Requirements,
     choice: Choice,
     dead: Vec<EngineKey>,
     /// Excluded engines: dead ones, and the one that a refusal blamed.
@@ -161,7 +161,7 @@
 }
 
 /// Returns what a request needs of an engine that joins its path after `events`.
-fn remaining_need(call: &Call, events: u64) -> Need {
+fn remaining_need(call: &Call, events: u64) -> Requirements {
     let need = send::need(call);
     let stride = call
         .service
@@ -169,7 +169,7 @@
         .as_ref()
         .map_or(1.0, |model| model.stride.max(1.0));
     let generated = (events as f64 * stride).min(call.head.most_answer_tokens);
-    Need {
+    Requirements {
         prompt: need.prompt + generated,
         answer: (need.answer - generated).max(1.0),
         ..need
@@ -182,7 +182,7 @@
     call: &Call,
     first: &Recipient,
     path: &Path,
-    need: Need,
+    need: Requirements,
     avoid: &[EngineKey],
 ) -> Option<(Choice, Order)> {
     let repairs = relay.wire.repairs()?;
--- a/reachtally-relay/src/stream/send.rs
+++ b/reachtally-relay/src/stream/send.rs
@@ -11,7 +11,9 @@
 use reachtally_core::forward::admission::{self, Offer};
 use reachtally_core::forward::fleet::EngineKey;
 use reachtally_core::forward::path::Path;
-use reachtally_core::forward::select::{self, Aim, Circumstance, Limits, Need, Shortage};
+use reachtally_core::forward::select::{
+    self, LatencyObjectives, Limits, NoPathReasons, Requirements, SelectionContext,
+};
 use reachtally_core::forward::stall;
 use reachtally_core::life::NeverStarted;
 
@@ -62,18 +64,18 @@
     Failure(Response<Body>),
 }
 
-pub(super) fn need(call: &Call) -> Need {
+pub(super) fn need(call: &Call) -> Requirements {
     let max = call.head.most_answer_tokens;
     let answer = call.head.answer_hint.unwrap_or(max);
     let ms = |time: Duration| time.as_secs_f64() * 1000.0;
-    let aim = Aim {
+    let objectives = LatencyObjectives {
         first_ms: Some(ms(call.route.objective)),
         gap_ms: call.route.gap_objective().map(ms),
     };
-    Need {
+    Requirements {
         prompt: call.head.prompt_tokens,
         answer: answer.max(1.0),
-        aim,
+        objectives,
     }
 }
 
@@ -96,7 +98,7 @@
 ) -> Option<Selection> {
     let settings = relay.settings.borrow();
     let fleet = relay.fleet.borrow();
-    let cx = Circumstance {
+    let cx = SelectionContext {
         limits,
         ..relay.circumstance(&settings, avoid, call.draw)
     };
@@ -139,12 +141,12 @@
 }
 
 /// Returns what prevents the engines from running a request, for the log.
-fn capacity_shortfall(relay: &Relay, call: &Call, avoid: &[EngineKey]) -> Option<Shortage> {
+fn capacity_shortfall(relay: &Relay, call: &Call, avoid: &[EngineKey]) -> Option<NoPathReasons> {
     let model = call.service.model.as_ref()?;
     let settings = relay.settings.borrow();
     let fleet = relay.fleet.borrow();
     let cx = relay.circumstance(&settings, avoid, call.draw);
-    let found = select::shortage(&fleet, &call.service_name, model, need(call), &cx);
+    let found = select::no_path_reasons(&fleet, &call.service_name, model, need(call), &cx);
     Some(found)
 }
 
@@ -234,7 +236,7 @@
     });
     let mut stopped = relay.stopped();
     let mut quarantined = std::pin::pin!(relay.until_quarantined(call, &mut stopped));
-    let first_wait = |first: Duration| first.mul_f64(stall::MOST_GAPS) + FIRST_EVENT_MARGIN;
+    let first_wait = |first: Duration| first.mul_f64(stall::MAX_GAPS) + FIRST_EVENT_MARGIN;
     let mut wait = first_wait(selection.first);
     let mut repair: Option<Repair> = None;
     loop {
--- a/reachtally-relay/src/whole.rs
+++ b/reachtally-relay/src/whole.rs
@@ -9,7 +9,7 @@
 use hyper::body::{Body as _, Frame, Incoming};
 use reachtally_core::forward::admission::Offer;
 use reachtally_core::forward::fleet::EngineKey;
-use reachtally_core::forward::select::{self, Circumstance, Instance, Limits};
+use reachtally_core::forward::select::{self, Instance, Limits, SelectionContext};
 use reachtally_core::life::NeverStarted;
 
 use crate::admission::Decision;
@@ -130,7 +130,7 @@
 ) -> Option<Instance> {
     let settings = relay.settings.borrow();
     let fleet = relay.fleet.borrow();
-    let cx = Circumstance {
+    let cx = SelectionContext {
         limits,
         ..relay.circumstance(&settings, tried, call.draw)
     };
