--- a/reachtally-bench/src/relay/boxed.rs
+++ b/reachtally-bench/src/relay/boxed.rs
@@ -10,7 +10,7 @@
 use reachtally_core::forward::cost::{Card, LayerModel};
 use reachtally_core::forward::fleet::Entry;
 use reachtally_core::forward::routes::{RepeatPolicy, ResponseShape, Route, Service, Table};
-use reachtally_relay::wire::{Addition, AnswerHead, BadHead, CallHead, Wire};
+use reachtally_relay::wire::{AddedFields, AnswerHead, BadHead, CallHead, Wire};
 use reachtally_relay::{Relay, Settings, listen};
 use tokio::net::TcpListener;
 use tokio::task::LocalSet;
@@ -40,12 +40,12 @@
         Ok(CallHead {
             id: id.unwrap_or_default().to_owned(),
             prompt_tokens: 10.0,
-            most_answer_tokens: 10.0,
+            max_answer_tokens: 10.0,
             ..CallHead::default()
         })
     }
 
-    fn forward(&self, headers: &HeaderMap, _add: &Addition<'_>) -> HeaderMap {
+    fn forward(&self, headers: &HeaderMap, _add: &AddedFields<'_>) -> HeaderMap {
         let mut headers = headers.clone();
         headers.remove(CONTENT_LENGTH);
         headers
--- a/reachtally-relay/src/admission.rs
+++ b/reachtally-relay/src/admission.rs
@@ -408,7 +408,7 @@
         by_rank.queued.get_or_create(&rank_label(request)).inc();
         loop {
             let check_at = until.min(self.now() + drain.max(slot.min_check_interval()));
-            self.until_due(check_at, slot.waiter.notify.notified())
+            self.run_until(check_at, slot.waiter.notify.notified())
                 .await;
             // The time may have run out while the machine was suspended.
             if self.now() >= until || !slot.is_held() {
--- a/reachtally-relay/src/answer.rs
+++ b/reachtally-relay/src/answer.rs
@@ -12,22 +12,22 @@
 
 /// Error of a response body that ended early. The connection is closed so that the caller notices.
 #[derive(Debug)]
-pub struct CutShort;
+pub struct BodyTruncated;
 
-impl std::fmt::Display for CutShort {
+impl std::fmt::Display for BodyTruncated {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         f.write_str("the response ended before it was complete")
     }
 }
 
-impl std::error::Error for CutShort {}
+impl std::error::Error for BodyTruncated {}
 
 /// Id of the request that a response belongs to. It is attached to the response for the log.
 #[derive(Debug, Clone)]
 pub struct AnswerTo(pub Arc<str>);
 
 /// Body of a response.
-pub type Body = Pin<Box<dyn hyper::body::Body<Data = Bytes, Error = CutShort>>>;
+pub type Body = Pin<Box<dyn hyper::body::Body<Data = Bytes, Error = BodyTruncated>>>;
 
 /// Average `Retry-After` as a fraction of the caller's remaining time. Engines that are full or under repair
 /// need a second or two, and callers honor values of up to a third of that time.
--- a/reachtally-relay/src/attempts.rs
+++ b/reachtally-relay/src/attempts.rs
@@ -7,7 +7,7 @@
 use reachtally_core::life::{GivenUp, Life, NeverStarted, Refusal, State, Unknown};
 
 use crate::answer::{self, Body};
-use crate::exchange::Unanswered;
+use crate::exchange::SendFailure;
 use crate::relay::Relay;
 use crate::serve::Call;
 
@@ -122,24 +122,24 @@
     }
 
     /// Records that the last send yielded no response; returns whether time for another is left.
-    pub fn failed(&mut self, relay: &Relay, call: &Call, why: Unanswered) -> bool {
-        if !matches!(why, Unanswered::NotRun(NeverStarted::ConnectFailed, _)) {
+    pub fn failed(&mut self, relay: &Relay, call: &Call, why: SendFailure) -> bool {
+        if !matches!(why, SendFailure::NotRun(NeverStarted::ConnectFailed, _)) {
             self.use_allowance();
         }
         match why {
-            Unanswered::NotRun(proof, why) => {
+            SendFailure::NotRun(proof, why) => {
                 log::info!(event = "not-run", id = &*call.head.id, why = &*why, send = self.sends(); "target did not run the request");
                 relay.count(|tally| tally.sends_not_run += 1);
                 if self.possible_runs == 0 {
                     self.transition(|state| state.never_started(proof));
                 }
             }
-            Unanswered::Lost(why) => {
+            SendFailure::Lost(why) => {
                 log::info!(event = "lost", id = &*call.head.id, why = &*why, send = self.sends(); "an answer was lost");
                 relay.count(|tally| tally.sends_lost += 1);
                 self.possible_runs += 1;
             }
-            Unanswered::Late => self.is_timed_out = true,
+            SendFailure::Late => self.is_timed_out = true,
         }
         !self.is_timed_out
     }
--- a/reachtally-relay/src/eras.rs
+++ b/reachtally-relay/src/eras.rs
@@ -44,7 +44,7 @@
 
     /// Merges the store's era as reported by another box. `age` is the time since the store was restored into
     /// this era, if it was restored.
-    pub(crate) fn hear_era(&self, reported: Era, age: Option<Duration>) {
+    pub(crate) fn merge_era(&self, reported: Era, age: Option<Duration>) {
         let mut eras = self.eras.get();
         let is_changed = match age {
             Some(age) => eras.receive_rollback(reported, self.now().before(age)),
--- a/reachtally-relay/src/events.rs
+++ b/reachtally-relay/src/events.rs
@@ -32,12 +32,12 @@
     }
 
     /// Returns whether an incomplete event is buffered.
-    pub fn has_part(&self) -> bool {
+    pub fn has_partial_event(&self) -> bool {
         !self.buf.is_empty()
     }
 
     /// Discards an incomplete event, since the bytes that follow come from another run.
-    pub fn restart(&mut self) {
+    pub fn discard_partial(&mut self) {
         self.buf.clear();
     }
 
--- a/reachtally-relay/src/exchange.rs
+++ b/reachtally-relay/src/exchange.rs
@@ -13,10 +13,10 @@
 use crate::relay::Relay;
 use crate::serve::Call;
 use crate::target::DialError;
-use crate::wire::{Addition, AnswerHead, LimitHeader};
+use crate::wire::{AddedFields, AnswerHead, LimitHeader};
 
 /// Reason why a send yielded no response that can be passed on.
-pub(crate) enum Unanswered {
+pub(crate) enum SendFailure {
     /// The request provably did not run.
     NotRun(NeverStarted, String),
     /// The request may have run.
@@ -37,11 +37,11 @@
 }
 
 /// Returns the target in row `key`.
-pub(crate) fn recipient(relay: &Relay, key: EngineKey) -> Result<Recipient, Unanswered> {
+pub(crate) fn recipient(relay: &Relay, key: EngineKey) -> Result<Recipient, SendFailure> {
     let fleet = relay.fleet.borrow();
     let Some(engine) = fleet.get(key) else {
         let why = "the target has been removed".to_owned();
-        return Err(Unanswered::NotRun(NeverStarted::ConnectFailed, why));
+        return Err(SendFailure::NotRun(NeverStarted::ConnectFailed, why));
     };
     Ok(Recipient {
         key,
@@ -51,16 +51,16 @@
 }
 
 /// Records a failure to connect to a target.
-pub(crate) fn not_connected(relay: &Relay, key: EngineKey, why: &DialError) -> Unanswered {
+pub(crate) fn connect_failed(relay: &Relay, key: EngineKey, why: &DialError) -> SendFailure {
     match why {
         DialError::Refused(_) => relay.target_dead(key),
         DialError::Silent => relay.target_silent(key),
     }
-    Unanswered::NotRun(NeverStarted::ConnectFailed, why.to_string())
+    SendFailure::NotRun(NeverStarted::ConnectFailed, why.to_string())
 }
 
 /// Returns the request to send to a target.
-pub(crate) fn request(relay: &Relay, call: &Call, add: &Addition<'_>) -> Request<Full<Bytes>> {
+pub(crate) fn request(relay: &Relay, call: &Call, add: &AddedFields<'_>) -> Request<Full<Bytes>> {
     let mut req = Request::new(Full::new(call.body.clone()));
     *req.method_mut() = call.parts.method.clone();
     *req.uri_mut() = origin_form(call);
@@ -78,7 +78,7 @@
 
 /// Decodes the head of a response. Records the reported load, less this box's own requests there, and the
 /// target's statement about itself.
-pub(crate) fn head_of(
+pub(crate) fn decode_head(
     relay: &Relay,
     call: &Call,
     from: &Recipient,
@@ -121,7 +121,7 @@
 }
 
 /// Returns why a response cannot be accepted as the target's response to this request, if so.
-pub(crate) fn mistrust(
+pub(crate) fn rejection_reason(
     call: &Call,
     head: &AnswerHead,
     response: &Response<Incoming>,
--- a/reachtally-relay/src/follow/suspects.rs
+++ b/reachtally-relay/src/follow/suspects.rs
@@ -33,7 +33,7 @@
         let (expired, stored): (Vec<SuspectReport>, Vec<SuspectReport>) = stored
             .into_iter()
             .partition(|suspect| suspect.life.is_zero());
-        relay.take_over_suspects(&stored);
+        relay.load_suspects(&stored);
         remove_from_store(store, &expired).await;
         relay.suspicion.store_back.notified().await;
         relay.until_direct().await;
@@ -75,10 +75,10 @@
     let mut backoff = Backoff::new();
     let mut dependency = Dependency::new("suspects-kept");
     loop {
-        let changes = relay.unkept_suspects().await;
+        let changes = relay.unsaved_suspects().await;
         match store.change_suspects(&changes).await {
             Ok(()) => {
-                relay.suspects_kept(&changes);
+                relay.mark_suspects_saved(&changes);
                 dependency.regained(relay.now());
                 backoff.reset();
             }
--- a/reachtally-relay/src/follow/targets.rs
+++ b/reachtally-relay/src/follow/targets.rs
@@ -29,7 +29,7 @@
     let mut watcher = TargetWatcher::new();
     loop {
         relay.until_direct().await;
-        if relay.store_away.get() && watcher.failures >= MAX_FAILURES {
+        if relay.is_store_unreachable.get() && watcher.failures >= MAX_FAILURES {
             // The configuration loop detects the recovery of the store.
             sleep(OUTAGE_POLL_INTERVAL).await;
             continue;
@@ -163,9 +163,9 @@
     let mut malformed = Vec::new();
     for item in feed.items {
         match item {
-            TargetChange::Wrote(entry) if relay.fleet.borrow().was_removed(&entry.run()) => {}
-            TargetChange::Wrote(entry) => entries.push(entry),
-            TargetChange::Spoiled(entry) => {
+            TargetChange::Updated(entry) if relay.fleet.borrow().was_removed(&entry.run()) => {}
+            TargetChange::Updated(entry) => entries.push(entry),
+            TargetChange::Malformed(entry) => {
                 relay.remove_target(&entry.id);
                 malformed.push(entry);
             }
@@ -178,7 +178,7 @@
         true => relay.merge_targets(entries),
         false => relay.replace_targets(entries, may_be_lost),
     }
-    relay.targets_are_of(started_at, end);
+    relay.record_targets_read(started_at, end);
     Ok(match is_restored {
         true => Applied::Merged,
         false => Applied::Entries,
@@ -206,12 +206,12 @@
     let mut malformed = Vec::new();
     for change in feed.items {
         match change {
-            TargetChange::Wrote(entry) => written.push((entry, EntrySource::Written)),
+            TargetChange::Updated(entry) => written.push((entry, EntrySource::Written)),
             TargetChange::Gone(id) => {
                 relay.update_targets(std::mem::take(&mut written));
                 relay.target_gone(&id, may_be_lost);
             }
-            TargetChange::Spoiled(entry) => {
+            TargetChange::Malformed(entry) => {
                 relay.update_targets(std::mem::take(&mut written));
                 relay.remove_target(&entry.id);
                 malformed.push(entry);
@@ -220,6 +220,6 @@
     }
     relay.update_targets(written);
     relay.log_malformed_entries(&malformed);
-    relay.targets_are_of(started_at, end);
+    relay.record_targets_read(started_at, end);
     Ok(Applied::Entries)
 }
--- a/reachtally-relay/src/gossip/limits.rs
+++ b/reachtally-relay/src/gossip/limits.rs
@@ -141,7 +141,7 @@
             return;
         }
         self.permit_requests.last_answered = grants.number;
-        self.relay.take_grants(grants);
+        self.relay.add_permits(grants);
     }
 
     /// Refills the token buckets of the rate-limited targets.
--- a/reachtally-relay/src/gossip/mod.rs
+++ b/reachtally-relay/src/gossip/mod.rs
@@ -76,7 +76,7 @@
         tokio::select! {
             _ = tick.tick() => gossip.send_report(),
             _ = totals_tick.tick(), if gossip.collector.reporters() > 0 => gossip.update_totals(),
-            () = relay.suspicion.news.notified() => gossip.propagate_suspects(None),
+            () = relay.suspicion.evidence_changed.notified() => gossip.propagate_suspects(None),
             () = relay.limits.changed.notified() => gossip.propagate_limits(None),
             () = relay.limits.wanted.notified() => gossip.request_permits(),
             () = relay.shares.contended.notified() => gossip.report_rates(),
@@ -168,7 +168,7 @@
     /// Whether other boxes may report to this one. A box that has no collector and is not one itself only knows its own report,
     /// from which it can't infer the number of boxes.
     fn is_collector(&self) -> bool {
-        self.relay.look(self.run, &[], |view| view.is_listed())
+        self.relay.with_view(self.run, &[], |view| view.is_listed())
     }
 
     /// Sends the totals of the received reports to the other collectors. Most boxes are no collectors and have no totals.
@@ -202,7 +202,9 @@
             self.unresponsive.push((ip, now));
         }
         let avoid: Vec<IpAddr> = self.unresponsive.iter().map(|(ip, _)| *ip).collect();
-        let found = self.relay.look(self.run, &avoid, |view| view.collector());
+        let found = self
+            .relay
+            .with_view(self.run, &avoid, |view| view.collector());
         let destination = found.map_or(Destination::Local, Destination::Box);
         if destination != self.destination {
             self.leave();
@@ -239,7 +241,7 @@
     fn peer_collectors(&self) -> BTreeSet<IpAddr> {
         let known: Vec<(&str, IpAddr)> = self.collector.peers().collect();
         let is_unknown = |domain: &str| !known.iter().any(|(from, _)| *from == domain);
-        let unknown: Vec<IpAddr> = self.relay.look(self.run, &[], |view| {
+        let unknown: Vec<IpAddr> = self.relay.with_view(self.run, &[], |view| {
             let first = view.first_readers();
             let unknown = first.into_iter().filter(|(domain, _)| is_unknown(domain));
             unknown.map(|(_, ip)| ip).collect()
@@ -317,7 +319,7 @@
                 self.update_remote_loads(others, now);
             }
             Ok(Message::Suspects(suspects)) => {
-                if self.relay.hear_suspects(&suspects) {
+                if self.relay.merge_suspects(&suspects) {
                     self.propagate_suspects(Some(from));
                 }
             }
--- a/reachtally-relay/src/group.rs
+++ b/reachtally-relay/src/group.rs
@@ -44,13 +44,13 @@
 const STEWARD_MARGIN: Duration = Duration::from_millis(700);
 
 /// Steward role of this box, shared by the task that acquires it and those that use it.
-pub type Part = Rc<RefCell<Stewardship>>;
+pub type StewardRole = Rc<RefCell<Stewardship>>;
 
 /// Keeps this box in the group while it is needed there, and counts the members if no other box does.
 ///
 /// A few boxes of each failure domain are members. The other boxes do not load the store: they receive their
 /// data from members, and join when some of these are missing.
-pub async fn run<S: Store>(relay: Rc<Relay>, store: S, role: Part, run: Incarnation) {
+pub async fn run<S: Store>(relay: Rc<Relay>, store: S, role: StewardRole, run: Incarnation) {
     wait_for_faster_boxes(&relay, &store, run).await;
     let mut membership = GroupMembership {
         relay,
@@ -111,7 +111,7 @@
 struct GroupMembership<S> {
     relay: Rc<Relay>,
     store: S,
-    role: Part,
+    role: StewardRole,
     run: Incarnation,
     is_member: bool,
     generation: Generation,
@@ -122,7 +122,7 @@
 
 impl<S: Store> GroupMembership<S> {
     fn with_view<T>(&self, f: impl FnOnce(&GroupView<'_>) -> T) -> T {
-        self.relay.look(self.run, &[], f)
+        self.relay.with_view(self.run, &[], f)
     }
 
     /// Returns whether this box should be in the group, given the known members.
@@ -205,7 +205,12 @@
 }
 
 /// Updates the steward role as assigned by the group; returns whether this box just lost it.
-fn update_role(role: &Part, is_steward: bool, generation: Generation, began: Instant) -> bool {
+fn update_role(
+    role: &StewardRole,
+    is_steward: bool,
+    generation: Generation,
+    began: Instant,
+) -> bool {
     let mut role = role.borrow_mut();
     let was_steward = role.permit(began).is_some();
     let until = began + MEMBER_TTL.saturating_sub(STEWARD_MARGIN);
--- a/reachtally-relay/src/limits.rs
+++ b/reachtally-relay/src/limits.rs
@@ -91,7 +91,7 @@
     }
 
     /// Adds granted permits and wakes the requests that wait for them.
-    pub(crate) fn take_grants(&self, grants: &Grants) {
+    pub(crate) fn add_permits(&self, grants: &Grants) {
         let now = self.now();
         let mut fleet = self.fleet.borrow_mut();
         for grant in &grants.grants {
--- a/reachtally-relay/src/listen.rs
+++ b/reachtally-relay/src/listen.rs
@@ -21,7 +21,7 @@
 use tokio::time::Instant;
 
 use crate::accept;
-use crate::answer::{AnswerTo, Body, CutShort};
+use crate::answer::{AnswerTo, Body, BodyTruncated};
 use crate::lifecycle::Stage;
 use crate::relay::Relay;
 use crate::serve;
@@ -77,7 +77,7 @@
 
 async fn connection(relay: Rc<Relay>, stream: TcpStream) {
     let _open = relay.connection();
-    target::send_at_once(&stream);
+    target::set_nodelay(&stream);
     if let Err(err) = SockRef::from(&stream).set_send_buffer_size(SEND_BUFFER) {
         log::debug!(event = "send-buffer", why:% = err; "failed to set the send buffer size; using the system default");
     }
@@ -164,14 +164,14 @@
 
 impl HttpBody for ResponseBody {
     type Data = bytes::Bytes;
-    type Error = CutShort;
+    type Error = BodyTruncated;
 
     fn poll_frame(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<Self::Data>, Self::Error>>> {
         let polled = self.body.as_mut().poll_frame(cx);
-        if self.ends_with_connection && matches!(polled, Poll::Ready(Some(Err(CutShort)))) {
+        if self.ends_with_connection && matches!(polled, Poll::Ready(Some(Err(BodyTruncated)))) {
             self.state.is_reset.set(true);
         }
         polled
--- a/reachtally-relay/src/occupied.rs
+++ b/reachtally-relay/src/occupied.rs
@@ -26,7 +26,7 @@
 }
 
 /// Counts a request as running on its engines until it is dropped.
-pub struct Occupied {
+pub struct RequestGuard {
     relay: Rc<Relay>,
     /// Service of the engines.
     service: Option<Arc<str>>,
@@ -38,7 +38,7 @@
     was_refused: Cell<bool>,
 }
 
-impl Occupied {
+impl RequestGuard {
     /// Counts a request that occupies `tokens` of KV cache on average on `engines`, after the prefill of a prompt
     /// of `prompt` tokens.
     pub fn new(relay: &Rc<Relay>, engines: Vec<EngineKey>, tokens: f64, prompt: f64) -> Self {
@@ -50,7 +50,7 @@
         if let Some(service) = &service {
             relay.admission.sent(service, relay.now());
         }
-        Occupied {
+        RequestGuard {
             relay: relay.clone(),
             prefilling_engines: engines.clone(),
             service,
@@ -100,7 +100,7 @@
     }
 }
 
-impl Drop for Occupied {
+impl Drop for RequestGuard {
     fn drop(&mut self) {
         self.end_prefill();
         let mut fleet = self.relay.fleet.borrow_mut();
--- a/reachtally-relay/src/quarantine.rs
+++ b/reachtally-relay/src/quarantine.rs
@@ -30,7 +30,7 @@
 pub(crate) struct QuarantineState {
     table: RefCell<Quarantine>,
     /// Notified when this box has changes to send to other boxes immediately.
-    pub news: Notify,
+    pub evidence_changed: Notify,
     /// Notified when the store is reachable again after an outage.
     pub store_back: Notify,
     /// Requests whose evidence must be written to the store.
@@ -85,7 +85,12 @@
 
     /// Handles a connection that a target closed while it had a request. If nothing listens at its address any
     /// more, the run has ended and the request may be the cause. A cut or reset connection alone proves nothing.
-    pub(crate) async fn target_broke_off(&self, call: &Call, to: &Recipient, progress: Progress) {
+    pub(crate) async fn target_disconnected(
+        &self,
+        call: &Call,
+        to: &Recipient,
+        progress: Progress,
+    ) {
         if !target::refuses_connections(to.address).await {
             return;
         }
@@ -109,11 +114,11 @@
             self.suspicion.mark_unsaved(fingerprint);
         }
         log::info!(event = "ended-under", id = &*call.head.id, fingerprint:% = fingerprint, account = call.account.as_deref().unwrap_or_default(), target = &*to.run.id, progress:? = progress, verdict:? = verdict; "target crashed while running a request");
-        self.suspicion.news.notify_one();
+        self.suspicion.evidence_changed.notify_one();
     }
 
     /// Clears a request of suspicion, since a target completed it.
-    pub(crate) fn answered_whole(&self, call: &Call) {
+    pub(crate) fn record_completion(&self, call: &Call) {
         let mut table = self.suspicion.table.borrow_mut();
         if table.is_empty() {
             return;
@@ -125,12 +130,12 @@
                 self.suspicion.mark_unsaved(fingerprint);
             }
             log::info!(event = "acquitted", id = &*call.head.id, fingerprint:% = fingerprint; "cleared a suspect request that a target completed");
-            self.suspicion.news.notify_one();
+            self.suspicion.evidence_changed.notify_one();
         }
     }
 
     /// Merges evidence from another box; returns whether any of it is new.
-    pub(crate) fn hear_suspects(&self, reported: &[SuspectReport]) -> bool {
+    pub(crate) fn merge_suspects(&self, reported: &[SuspectReport]) -> bool {
         let now = self.now();
         let mut table = self.suspicion.table.borrow_mut();
         let mut is_changed = false;
@@ -147,15 +152,15 @@
     }
 
     /// Merges evidence that earlier runs of boxes saved in the store.
-    pub(crate) fn take_over_suspects(&self, saved: &[SuspectReport]) {
-        if self.hear_suspects(saved) {
+    pub(crate) fn load_suspects(&self, saved: &[SuspectReport]) {
+        if self.merge_suspects(saved) {
             log::info!(event = "suspects-read", requests = saved.len(); "loaded suspect requests from the store");
-            self.suspicion.news.notify_one();
+            self.suspicion.evidence_changed.notify_one();
         }
     }
 
     /// Waits for evidence that must be written to the store, and returns the changes.
-    pub(crate) async fn unkept_suspects(&self) -> Vec<SuspectChange> {
+    pub(crate) async fn unsaved_suspects(&self) -> Vec<SuspectChange> {
         while self.suspicion.unsaved.borrow().is_empty() {
             self.suspicion.unsaved_changed.notified().await;
         }
@@ -170,7 +175,7 @@
     }
 
     /// Marks changes as written to the store. Evidence that has changed since must be written again.
-    pub(crate) fn suspects_kept(&self, changes: &[SuspectChange]) {
+    pub(crate) fn mark_suspects_saved(&self, changes: &[SuspectChange]) {
         let now = self.now();
         let table = self.suspicion.table.borrow();
         let is_current = |evidence: &SuspectReport| {
--- a/reachtally-relay/src/relay.rs
+++ b/reachtally-relay/src/relay.rs
@@ -32,7 +32,7 @@
 use crate::metrics::Times;
 use crate::occupied::ConnectionGuard;
 use crate::quarantine::QuarantineState;
-use crate::rhythm::Rhythm;
+use crate::rhythm::ReadIntervals;
 use crate::second_sends::SecondSends;
 use crate::share::Pages;
 use crate::shares::ShareState;
@@ -126,7 +126,7 @@
     /// Last era in which the operator is known to have written a configuration.
     pub(crate) configured_in: Cell<Option<Era>>,
     /// Whether this box's own reads of the store are failing.
-    pub store_away: Cell<bool>,
+    pub is_store_unreachable: Cell<bool>,
     /// Counters for metrics.
     pub tally: Cell<Tally>,
     /// Latency histograms for metrics.
@@ -189,7 +189,7 @@
             targets_end: Cell::default(),
             eras: Cell::default(),
             configured_in: Cell::default(),
-            store_away: Cell::default(),
+            is_store_unreachable: Cell::default(),
             tally: Cell::default(),
             times: Times::default(),
             changes: RefCell::default(),
@@ -199,8 +199,8 @@
     }
 
     /// Returns the intervals of store reads and the maximum ages of data from other boxes.
-    pub fn rhythm(&self) -> Rhythm {
-        Rhythm::of(&self.settings.borrow())
+    pub fn rhythm(&self) -> ReadIntervals {
+        ReadIntervals::of(&self.settings.borrow())
     }
 
     /// Returns the current time.
@@ -215,7 +215,7 @@
 
     /// Runs `work` until `due` and returns its output, or `None` on timeout. The clock is checked every
     /// [`CLOCK_CHECK_INTERVAL`], since timers do not advance while the machine is suspended.
-    pub(crate) async fn until_due<T>(
+    pub(crate) async fn run_until<T>(
         &self,
         due: Instant,
         work: impl Future<Output = T>,
@@ -256,7 +256,7 @@
         let table = self.wire.config(raw)?;
         if self.configuration.replace(table, packed)? {
             self.count(|tally| tally.configurations_applied += 1);
-            self.touched();
+            self.notify_changed();
         }
         Ok(())
     }
@@ -309,11 +309,11 @@
         if before != boxes {
             log::info!(event = "boxes", boxes = boxes, before = before, generation = generation.number, era = generation.era.0; "number of boxes changed");
         }
-        self.touched();
+        self.notify_changed();
     }
 
     /// Calls `f` with a view of the group for incarnation `run` of this box, excluding the boxes in `avoid`.
-    pub(crate) fn look<T>(
+    pub(crate) fn with_view<T>(
         &self,
         run: Incarnation,
         avoid: &[IpAddr],
@@ -323,7 +323,7 @@
         self.with_view_of(&members, run, avoid, f)
     }
 
-    /// Like [`Relay::look`], for the given list of members.
+    /// Like [`Relay::with_view`], for the given list of members.
     pub(crate) fn with_view_of<T>(
         &self,
         members: &[Member],
@@ -361,7 +361,7 @@
     }
 
     /// Notifies subscribers of [`Relay::news`].
-    pub(crate) fn touched(&self) {
+    pub(crate) fn notify_changed(&self) {
         self.news.send_replace(());
     }
 
@@ -373,7 +373,7 @@
     }
 
     /// Records that the targets come from a read that began at `began` and ended at position `end`.
-    pub fn targets_are_of(&self, began: Instant, end: Position) {
+    pub fn record_targets_read(&self, began: Instant, end: Position) {
         self.targets_read
             .set(self.targets_read.get().max(Some(began)));
         self.targets_end.set(self.targets_end.get().max(end));
@@ -400,7 +400,7 @@
     }
 
     /// Returns this box's share of the connections that an instance of a plain service accepts from all boxes.
-    pub(crate) fn most_connections(&self, service: &Service) -> u32 {
+    pub(crate) fn connection_share(&self, service: &Service) -> u32 {
         (service.max_connections / self.boxes()).max(1)
     }
 
@@ -451,7 +451,7 @@
     }
 
     /// Adds a sample to the average time that requests run on their engines.
-    pub fn note_held(&self, held: Duration) {
+    pub fn record_run_time(&self, held: Duration) {
         let mean = self.mean_run_time.get().as_secs_f64();
         let next = mean + RUN_TIME_WEIGHT * (held.as_secs_f64() - mean);
         self.mean_run_time
@@ -479,7 +479,7 @@
 
     /// Returns the time until the back-off of targets of `service` ends, if only that back-off keeps a request
     /// from being served. `can_serve` returns whether it could be served at the time in the given circumstance.
-    pub(crate) fn back_off_left(
+    pub(crate) fn remaining_back_off(
         &self,
         service: &str,
         draw: u64,
--- a/reachtally-relay/src/rhythm.rs
+++ b/reachtally-relay/src/rhythm.rs
@@ -29,21 +29,21 @@
 
 /// Intervals of store reads, and maximum ages of data from other boxes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Rhythm {
+pub struct ReadIntervals {
     /// Maximum wait of one read of the configuration.
     pub config_wait: Duration,
     /// Time between two reads of target changes.
     pub targets_interval: Duration,
     /// Maximum age of the configuration of a box that serves as a source for others. A read confirms the
     /// configuration as of its start, so ages up to twice the wait are normal.
-    pub sound_age: Duration,
+    pub max_source_age: Duration,
     /// Maximum age of the targets of a box that serves as a source for others.
-    pub sound_targets_age: Duration,
+    pub max_source_targets_age: Duration,
     /// Time within which a missing entry may reappear.
-    pub missing_patience: Duration,
+    pub missing_grace_period: Duration,
 }
 
-impl Rhythm {
+impl ReadIntervals {
     /// Computes the intervals for the bounds in `settings`.
     pub fn of(settings: &Settings) -> Self {
         let [min, max] = CONFIG_WAIT_RANGE;
@@ -51,12 +51,12 @@
         let [min, max] = TARGETS_INTERVAL_RANGE;
         let targets_interval =
             (settings.drain_within / TARGETS_READS_PER_DRAIN_BOUND).clamp(min, max);
-        Rhythm {
+        ReadIntervals {
             config_wait,
             targets_interval,
-            sound_age: 2 * config_wait + READ_SLACK,
-            sound_targets_age: 2 * targets_interval + TARGETS_SLACK,
-            missing_patience: settings
+            max_source_age: 2 * config_wait + READ_SLACK,
+            max_source_targets_age: 2 * targets_interval + TARGETS_SLACK,
+            missing_grace_period: settings
                 .drain_within
                 .saturating_sub(DRAIN_SLACK + targets_interval),
         }
--- a/reachtally-relay/src/share/ask.rs
+++ b/reachtally-relay/src/share/ask.rs
@@ -174,7 +174,7 @@
     let is_stale = matches!(why, SourceError::Stale(_));
     let duration = if has_just_started(relay) {
         STARTUP_COOLDOWN
-    } else if relay.store_away.get() {
+    } else if relay.is_store_unreachable.get() {
         OUTAGE_COOLDOWN
     } else if is_stale && !relay.is_direct() {
         STALE_COOLDOWN
@@ -263,7 +263,7 @@
         Some(ages) => {
             let end = update.targets_end;
             if apply(relay, &mut source, update).map_err(SourceError::Silent)? {
-                relay.targets_are_of(before(started_at, ages.targets), end);
+                relay.record_targets_read(before(started_at, ages.targets), end);
             }
             let confirmed = before(started_at, ages.configuration);
             relay.configuration.confirm(confirmed);
@@ -297,7 +297,7 @@
 /// Applies the parts of an update that are valid at any age: the store epoch, and a configuration newer than the held one.
 fn apply_ageless(relay: &Relay, update: &News) -> Result<(), String> {
     if let Some(era) = update.era {
-        relay.hear_era(era, update.era_age);
+        relay.merge_era(era, update.era_age);
     }
     if !update.config.is_empty() {
         relay.publish_packed(&update.config)?;
@@ -328,14 +328,14 @@
         return Ok(None);
     };
     let rhythm = relay.rhythm();
-    if configuration > rhythm.sound_age {
+    if configuration > rhythm.max_source_age {
         let ms = configuration.as_millis();
         let why = format!("configuration was last confirmed {ms} ms ago");
         return Err(SourceError::Stale(why));
     }
     let no_targets = || SourceError::Stale("source has read no targets".to_owned());
     let targets = update.targets_age.ok_or_else(no_targets)?;
-    if targets > rhythm.sound_targets_age {
+    if targets > rhythm.max_source_targets_age {
         let ms = targets.as_millis();
         let why = format!("targets were last read {ms} ms ago");
         return Err(SourceError::Stale(why));
@@ -381,7 +381,7 @@
 async fn open(address: SocketAddr) -> Result<Source, String> {
     let connected = target::dial(address, ANSWER_TIMEOUT_MARGIN).await;
     let stream = connected.map_err(|err| err.to_string())?;
-    target::send_at_once(&stream);
+    target::set_nodelay(&stream);
     Ok(Source {
         ip: address.ip(),
         link: Framed::new(stream, frames()),
--- a/reachtally-relay/src/share/mod.rs
+++ b/reachtally-relay/src/share/mod.rs
@@ -40,6 +40,6 @@
     let now = relay.now();
     let rhythm = relay.rhythm();
     let age = relay.configuration.age(now);
-    age.is_some_and(|age| age <= rhythm.sound_age)
-        && is_at_most(relay.targets_read.get(), now, rhythm.sound_targets_age)
+    age.is_some_and(|age| age <= rhythm.max_source_age)
+        && is_at_most(relay.targets_read.get(), now, rhythm.max_source_targets_age)
 }
--- a/reachtally-relay/src/steward.rs
+++ b/reachtally-relay/src/steward.rs
@@ -11,7 +11,7 @@
 use reachtally_core::forward::placement::{self, Host, Move};
 use tokio::time::sleep;
 
-use crate::group::Part;
+use crate::group::StewardRole;
 use crate::relay::Relay;
 use crate::store::{OrderAnswer, Orders, Told};
 
@@ -34,7 +34,7 @@
 }
 
 /// Runs placement while this box is the steward.
-pub async fn run<O: Orders>(relay: Rc<Relay>, role: Part, orders: O) {
+pub async fn run<O: Orders>(relay: Rc<Relay>, role: StewardRole, orders: O) {
     let mut pending: HashMap<EngineKey, Pending> = HashMap::new();
     let mut known_engines = 0;
     let mut grown_at = relay.now();
@@ -110,7 +110,7 @@
 
 async fn send_orders<O: Orders>(
     relay: &Relay,
-    role: &Part,
+    role: &StewardRole,
     orders: &O,
     pending: &mut HashMap<EngineKey, Pending>,
     moves: Vec<Move>,
--- a/reachtally-relay/src/store.rs
+++ b/reachtally-relay/src/store.rs
@@ -77,16 +77,16 @@
 #[derive(Debug, Clone)]
 pub enum TargetChange {
     /// A target wrote its entry.
-    Wrote(Entry),
+    Updated(Entry),
     /// A target's entry was removed.
     Gone(Arc<str>),
     /// A target's entry was overwritten by another writer and does not decode.
-    Spoiled(SpoiledEntry),
+    Malformed(MalformedEntry),
 }
 
 /// An entry that does not decode.
 #[derive(Debug, Clone)]
-pub struct SpoiledEntry {
+pub struct MalformedEntry {
     /// Id of the target.
     pub id: Arc<str>,
     /// Description of the problem.
--- a/reachtally-relay/src/stream/ahead.rs
+++ b/reachtally-relay/src/stream/ahead.rs
@@ -161,7 +161,7 @@
                     () = released, if held.stream < read_ahead::MAX_STREAM_BYTES => {}
                 }
             };
-            if relay.until_due(due, woken).await.is_none() {
+            if relay.run_until(due, woken).await.is_none() {
                 return Readiness::DeadlineExceeded;
             }
         }
--- a/reachtally-relay/src/stream/chain.rs
+++ b/reachtally-relay/src/stream/chain.rs
@@ -15,7 +15,7 @@
 use crate::attempts::Attempts;
 use crate::events::Splitter;
 use crate::exchange::Recipient;
-use crate::occupied::Occupied;
+use crate::occupied::RequestGuard;
 use crate::relay::Relay;
 use crate::serve::Call;
 use crate::stream::repair::{self, Outcome, Repair};
@@ -36,7 +36,7 @@
     body: Incoming,
     /// Dropping the connection cancels the request; it is reused after a complete answer.
     connection: Option<Connection>,
-    occupied: Occupied,
+    occupied: RequestGuard,
     /// The engine that received the request and sends the answer.
     first: Recipient,
     /// Estimated gap between events: the expected one, updated by the observed ones.
@@ -100,7 +100,7 @@
     fn record(&self, relay: &Relay, call: &Call, engines: &[EngineKey]) {
         let first = self.first.unwrap_or_default();
         let took = relay.now().since(self.started_at);
-        relay.note_held(took);
+        relay.record_run_time(took);
         relay.times.first_event.observe(first.as_secs_f64());
         relay
             .times
@@ -148,7 +148,7 @@
     pub fn new(
         body: Incoming,
         connection: Connection,
-        occupied: Occupied,
+        occupied: RequestGuard,
         first: Recipient,
         timing: Timing,
         relay: &Relay,
@@ -420,11 +420,11 @@
 
     /// Handles the regular end of the body. An incomplete last event shows that the engine did not end the stream intentionally.
     fn finish(&mut self, relay: &Relay, call: &Call, splitter: &Splitter) -> StopReason {
-        if splitter.has_part() {
+        if splitter.has_partial_event() {
             return self.interrupted("answer ended within an event".to_owned());
         }
         self.timing.record(relay, call, self.engines());
-        relay.answered_whole(call);
+        relay.record_completion(call);
         if let Some(connection) = self.connection.take() {
             relay.connections.keep(connection, relay.now());
         }
--- a/reachtally-relay/src/stream/mod.rs
+++ b/reachtally-relay/src/stream/mod.rs
@@ -22,7 +22,7 @@
 use reachtally_core::forward::routes::ResponseShape;
 
 use crate::admission::Decision;
-use crate::answer::{Body, CutShort};
+use crate::answer::{Body, BodyTruncated};
 use crate::attempts::Attempts;
 use crate::events::Splitter;
 use crate::quarantine::Progress;
@@ -76,7 +76,7 @@
                 return stream_response(relay.clone(), call, head, running, attempts);
             }
             Ok(EngineAnswer::Failure(response)) => {
-                relay.answered_whole(&call);
+                relay.record_completion(&call);
                 return response;
             }
             Err(why) => {
@@ -112,7 +112,7 @@
                     return;
                 }
                 None => {
-                    yield Err(CutShort);
+                    yield Err(BodyTruncated);
                     return;
                 }
             }
@@ -159,7 +159,7 @@
             Continuation::Complete => return queue.complete(),
             Continuation::Resumed(other) => {
                 running = *other;
-                splitter.restart();
+                splitter.discard_partial();
             }
             Continuation::SameChain => running.wait_from(relay.now()),
             Continuation::Cut(why) => {
@@ -262,7 +262,7 @@
 async fn record_suspected_crash(relay: &Relay, call: &Call, running: &RunningChain) {
     if running.events() == 0 {
         relay
-            .target_broke_off(call, running.first(), Progress::Begun)
+            .target_disconnected(call, running.first(), Progress::Begun)
             .await;
     }
 }
@@ -302,7 +302,7 @@
             Ok(EngineAnswer::Failure(response)) => {
                 // The request ran on that chain, so the attempt counts: the original chain, which is awaited again, may stop once more.
                 attempts.answered();
-                relay.answered_whole(call);
+                relay.record_completion(call);
                 log::info!(event = "not-resumed", id = &*call.head.id, status = response.status().as_u16(); "stream not resumed: another chain answered with an error");
                 return None;
             }
--- a/reachtally-relay/src/stream/repair.rs
+++ b/reachtally-relay/src/stream/repair.rs
@@ -168,7 +168,7 @@
         .model
         .as_ref()
         .map_or(1.0, |model| model.stride.max(1.0));
-    let generated = (events as f64 * stride).min(call.head.most_answer_tokens);
+    let generated = (events as f64 * stride).min(call.head.max_answer_tokens);
     Requirements {
         prompt: need.prompt + generated,
         answer: (need.answer - generated).max(1.0),
--- a/reachtally-relay/src/stream/send.rs
+++ b/reachtally-relay/src/stream/send.rs
@@ -19,14 +19,14 @@
 
 use crate::answer::{self, Body};
 use crate::attempts::{Attempts, SendRecord};
-use crate::exchange::{self, Recipient, Unanswered};
-use crate::occupied::Occupied;
+use crate::exchange::{self, Recipient, SendFailure};
+use crate::occupied::RequestGuard;
 use crate::relay::Relay;
 use crate::serve::Call;
 use crate::stream::chain::{FIRST_EVENT_MARGIN, RunningChain, Timing, find_dead_among_silent};
 use crate::stream::repair::{self, AcceptedRepair, Outcome, Repair};
 use crate::target::{self, Answer, SendError};
-use crate::wire::{Addition, AnswerHead};
+use crate::wire::{AddedFields, AnswerHead};
 
 /// Time without the head of an answer after which a chain that is silent on all streams is abandoned
 /// although its engines accept connections. Loaded chains start within a second.
@@ -48,7 +48,7 @@
 
 impl Selection {
     /// Switches to a repaired path.
-    fn apply_repair(&mut self, accepted: AcceptedRepair, occupied: &mut Occupied) {
+    fn apply_repair(&mut self, accepted: AcceptedRepair, occupied: &mut RequestGuard) {
         let path = accepted.choice.path;
         self.engines = path.engines();
         occupied.move_to(path.engines(), accepted.read);
@@ -65,7 +65,7 @@
 }
 
 pub(super) fn need(call: &Call) -> Requirements {
-    let max = call.head.most_answer_tokens;
+    let max = call.head.max_answer_tokens;
     let answer = call.head.answer_hint.unwrap_or(max);
     let ms = |time: Duration| time.as_secs_f64() * 1000.0;
     let objectives = LatencyObjectives {
@@ -103,7 +103,7 @@
         ..relay.circumstance(&settings, avoid, call.draw)
     };
     let Some(model) = &call.service.model else {
-        let max = relay.most_connections(&call.service);
+        let max = relay.connection_share(&call.service);
         let found = select::instance(&fleet, &call.service_name, max, &cx)?;
         return Some(Selection {
             path: None,
@@ -131,10 +131,10 @@
 /// Returns the time until the back-off of engines that can serve the request ends.
 pub(super) fn remaining_back_off(relay: &Relay, call: &Call) -> Option<Duration> {
     let service = &call.service_name;
-    relay.back_off_left(service, call.draw, |fleet, cx| match &call.service.model {
+    relay.remaining_back_off(service, call.draw, |fleet, cx| match &call.service.model {
         Some(model) => select::path(fleet, service, model, need(call), cx).is_some(),
         None => {
-            let max = relay.most_connections(&call.service);
+            let max = relay.connection_share(&call.service);
             select::instance(fleet, service, max, cx).is_some()
         }
     })
@@ -179,12 +179,13 @@
     mut selection: Selection,
     last: Option<u64>,
     attempts: &mut Attempts,
-) -> Result<EngineAnswer, Unanswered> {
+) -> Result<EngineAnswer, SendFailure> {
     let key = selection.engines[0];
     attempts.begin(relay, key, send_record(relay, call, &selection));
     let to = exchange::recipient(relay, key)?;
     let need = need(call);
-    let mut occupied = Occupied::new(relay, selection.engines.clone(), need.held(), need.prompt);
+    let mut occupied =
+        RequestGuard::new(relay, selection.engines.clone(), need.held(), need.prompt);
     let timing = Timing::new(relay.now(), selection.first, selection.gap);
     let answer = wait_for_head(
         relay,
@@ -208,13 +209,13 @@
     relay: &Rc<Relay>,
     call: &Call,
     selection: &mut Selection,
-    occupied: &mut Occupied,
+    occupied: &mut RequestGuard,
     to: &Recipient,
     last: Option<u64>,
     attempts: &mut Attempts,
-) -> Result<Answer, Unanswered> {
+) -> Result<Answer, SendFailure> {
     let (key, address, started_at) = (to.key, to.address, relay.now());
-    let add = Addition {
+    let add = AddedFields {
         deadline: call.left(relay),
         target_run: &to.run.id,
         account: call.account.as_deref(),
@@ -230,7 +231,7 @@
     let is_reused = pooled.is_some();
     let mut sending = std::pin::pin!(async {
         match pooled {
-            Some(pooled) => target::send_again(pooled, req).await,
+            Some(pooled) => target::send_on_idle(pooled, req).await,
             None => target::send(address, req).await,
         }
     });
@@ -246,7 +247,7 @@
             sent = tokio::time::timeout_at(relay.timer(until), &mut sending) => sent,
             () = &mut quarantined => {
                 let why = "request quarantined after engine crashes".to_owned();
-                return Err(Unanswered::Lost(why));
+                return Err(SendFailure::Lost(why));
             }
             answer = repair::wait_for_answer(&mut repair) => {
                 let silent_for = relay.now().since(started_at);
@@ -269,18 +270,18 @@
             Ok(Ok(answer)) => return Ok(answer),
             Ok(Err(SendError::NotConnected(why))) => {
                 attempts.avoid.push(key);
-                return Err(exchange::not_connected(relay, key, &why));
+                return Err(exchange::connect_failed(relay, key, &why));
             }
             Ok(Err(SendError::Broken(why))) => return Err(mark_failed(relay, key, attempts, why)),
-            Ok(Err(SendError::Stale(why))) => return Err(Unanswered::Lost(why)),
-            Err(_) if relay.now() >= call.due => return Err(Unanswered::Late),
+            Ok(Err(SendError::Stale(why))) => return Err(SendFailure::Lost(why)),
+            Err(_) if relay.now() >= call.due => return Err(SendFailure::Late),
             Err(_) if repair.is_some() => continue,
             Err(_) => {}
         }
         let is_unresponsive = relay.now().since(started_at) > SILENT_CHAIN_TIMEOUT;
         if is_reused && is_unresponsive && can_reroute(relay, call, attempts, &[]) {
             let why = "no answer over a reused connection".to_owned();
-            return Err(Unanswered::Lost(why));
+            return Err(SendFailure::Lost(why));
         }
         let mut failed = find_dead_among_silent(relay, &selection.engines, wait).await;
         if !failed.is_empty() && repair::may_repair(relay, call, selection.repairs, 0) {
@@ -312,9 +313,9 @@
 }
 
 /// Abandons a send because these engines are silent.
-fn abandon_silent(attempts: &mut Attempts, silent: Vec<EngineKey>) -> Unanswered {
+fn abandon_silent(attempts: &mut Attempts, silent: Vec<EngineKey>) -> SendFailure {
     attempts.avoid.extend(silent);
-    Unanswered::Lost("no first event, and engines are silent".to_owned())
+    SendFailure::Lost("no first event, and engines are silent".to_owned())
 }
 
 /// Evaluates the head of an answer.
@@ -323,18 +324,18 @@
     call: &Call,
     answer: Answer,
     from: Recipient,
-    occupied: Occupied,
+    occupied: RequestGuard,
     timing: Timing,
     attempts: &mut Attempts,
-) -> Result<EngineAnswer, Unanswered> {
+) -> Result<EngineAnswer, SendFailure> {
     let status = answer.response.status();
-    let head = exchange::head_of(relay, call, &from, &answer.response);
+    let head = exchange::decode_head(relay, call, &from, &answer.response);
     if exchange::proves_not_run(call, &head) {
         return Err(handle_refusal(relay, &occupied, &head, status, attempts).await);
     }
-    if let Some(why) = exchange::mistrust(call, &head, &answer.response) {
+    if let Some(why) = exchange::rejection_reason(call, &head, &answer.response) {
         return Err(match answer.is_reused {
-            true => Unanswered::Lost(why.to_owned()),
+            true => SendFailure::Lost(why.to_owned()),
             false => mark_failed(relay, from.key, attempts, why.to_owned()),
         });
     }
@@ -352,21 +353,21 @@
 }
 
 /// Records a failure of the first engine after which the request may have run.
-fn mark_failed(relay: &Relay, key: EngineKey, attempts: &mut Attempts, why: String) -> Unanswered {
+fn mark_failed(relay: &Relay, key: EngineKey, attempts: &mut Attempts, why: String) -> SendFailure {
     relay.target_failed(key, &why);
     attempts.avoid.push(key);
-    Unanswered::Lost(why)
+    SendFailure::Lost(why)
 }
 
 /// Handles a refusal. The blamed engine is excluded until its entry changes if it contradicted the entry; otherwise it gets a
 /// cooldown and is probed.
 async fn handle_refusal(
     relay: &Relay,
-    occupied: &Occupied,
+    occupied: &RequestGuard,
     head: &AnswerHead,
     status: StatusCode,
     attempts: &mut Attempts,
-) -> Unanswered {
+) -> SendFailure {
     let blamed = blamed_engine(relay, occupied.engines(), head);
     attempts.avoid.push(blamed);
     if head.misdirected {
@@ -378,7 +379,7 @@
     }
     let address = relay.target_address(blamed);
     let why = format!("status {} by {address:?}", status.as_u16());
-    Unanswered::NotRun(NeverStarted::TargetSaidSo, why)
+    SendFailure::NotRun(NeverStarted::TargetSaidSo, why)
 }
 
 /// Returns the engine of a path that is to blame for a refusal. Only the engines of the path are searched for the address, since
@@ -390,9 +391,9 @@
 }
 
 /// Reads the complete error response of an engine.
-async fn collect_failure(parts: Parts, body: Incoming) -> Result<EngineAnswer, Unanswered> {
+async fn collect_failure(parts: Parts, body: Incoming) -> Result<EngineAnswer, SendFailure> {
     let held = body.collect().await;
-    let held = held.map_err(|err| Unanswered::Lost(err.to_string()))?;
+    let held = held.map_err(|err| SendFailure::Lost(err.to_string()))?;
     let whole = answer::whole(held.to_bytes());
     Ok(EngineAnswer::Failure(Response::from_parts(parts, whole)))
 }
--- a/reachtally-relay/src/target.rs
+++ b/reachtally-relay/src/target.rs
@@ -82,7 +82,7 @@
 }
 
 /// Disables Nagle's algorithm, so that small packets are sent immediately.
-pub(crate) fn send_at_once(stream: &TcpStream) {
+pub(crate) fn set_nodelay(stream: &TcpStream) {
     if let Err(err) = stream.set_nodelay(true) {
         log::debug!(event = "nodelay", why:% = err; "failed to set TCP_NODELAY; small packets may be delayed");
     }
@@ -137,7 +137,7 @@
     pub async fn open(address: SocketAddr) -> Result<Connection, SendError> {
         let dialled = dial(address, CONNECT_TIMEOUT).await;
         let stream = dialled.map_err(SendError::NotConnected)?;
-        send_at_once(&stream);
+        set_nodelay(&stream);
         let handshake = http1::Builder::new()
             .max_buf_size(READ_BUFFER)
             .handshake(TokioIo::new(stream));
@@ -202,7 +202,7 @@
 ///
 /// # Errors
 /// See [`SendError`].
-pub async fn send_again(
+pub async fn send_on_idle(
     mut kept: Connection,
     req: Request<Full<Bytes>>,
 ) -> Result<Answer, SendError> {
--- a/reachtally-relay/src/targets/entries.rs
+++ b/reachtally-relay/src/targets/entries.rs
@@ -7,7 +7,7 @@
 use tokio::sync::watch;
 
 use crate::relay::Relay;
-use crate::store::SpoiledEntry;
+use crate::store::MalformedEntry;
 
 /// Maximum number of changed entries of one read that are logged individually. The first list and a new plan change nearly all
 /// entries.
@@ -41,7 +41,7 @@
             return;
         }
         self.log_changed(&changed);
-        self.touched();
+        self.notify_changed();
         if !ended.is_empty() {
             log::info!(event = "targets-started-again", targets = ended.len(); "targets restarted under their ids and lost their state");
             self.runs_ended.send_replace(ended);
@@ -54,7 +54,7 @@
     }
 
     /// Counts and logs the malformed entries of one read.
-    pub(crate) fn log_malformed_entries(&self, malformed: &[SpoiledEntry]) {
+    pub(crate) fn log_malformed_entries(&self, malformed: &[MalformedEntry]) {
         self.count(|tally| tally.entries_spoiled += malformed.len() as u64);
         for entry in malformed.iter().take(MAX_ENTRY_LINES) {
             log::warn!(event = "entry-spoiled", target = &*entry.id, why = &*entry.why; "malformed entry, overwritten by another writer; the target is removed");
@@ -92,7 +92,7 @@
     pub fn mark_missing(&self, id: &str) {
         if self.fleet.borrow_mut().mark_missing(id, self.now()) {
             self.changes.borrow_mut().record(Arc::from(id));
-            self.touched();
+            self.notify_changed();
         }
     }
 
@@ -100,7 +100,7 @@
     pub(crate) fn remove_target(&self, id: &str) {
         if self.fleet.borrow_mut().remove(id, self.now()).is_some() {
             self.changes.borrow_mut().record(Arc::from(id));
-            self.touched();
+            self.notify_changed();
         }
     }
 
@@ -148,7 +148,7 @@
 
     /// Removes targets whose entries have been missing for too long.
     pub fn remove_missing(&self) {
-        let patience = self.rhythm().missing_patience;
+        let patience = self.rhythm().missing_grace_period;
         let missing = self.fleet.borrow().missing(self.now(), patience);
         for id in missing {
             self.remove_target(&id);
--- a/reachtally-relay/src/whole.rs
+++ b/reachtally-relay/src/whole.rs
@@ -13,15 +13,15 @@
 use reachtally_core::life::NeverStarted;
 
 use crate::admission::Decision;
-use crate::answer::{self, Body, CutShort};
+use crate::answer::{self, Body, BodyTruncated};
 use crate::attempts::{Attempts, SendRecord};
-use crate::exchange::{self, Recipient, Unanswered};
-use crate::occupied::Occupied;
+use crate::exchange::{self, Recipient, SendFailure};
+use crate::occupied::RequestGuard;
 use crate::quarantine::Progress;
 use crate::relay::Relay;
 use crate::serve::Call;
 use crate::target::{self, Connection, SendError};
-use crate::wire::Addition;
+use crate::wire::AddedFields;
 
 /// Responses up to this size are buffered completely before they are passed on, so that a request whose
 /// response breaks off can be sent again.
@@ -80,7 +80,7 @@
     }
     match failure {
         Some(response) => answered(relay, call, response),
-        None => attempts.give_up(relay, call, back_off_left(relay, call)),
+        None => attempts.give_up(relay, call, remaining_back_off(relay, call)),
     }
 }
 
@@ -117,7 +117,7 @@
 }
 
 fn choose(relay: &Relay, call: &Call, tried: &[EngineKey], limits: Limits) -> Option<Instance> {
-    let max_connections = relay.most_connections(&call.service);
+    let max_connections = relay.connection_share(&call.service);
     choose_with(relay, call, tried, limits, max_connections)
 }
 
@@ -138,9 +138,9 @@
 }
 
 /// Returns the time until instances that this box backs off from can serve the request.
-fn back_off_left(relay: &Relay, call: &Call) -> Option<Duration> {
-    relay.back_off_left(&call.service_name, call.draw, |fleet, cx| {
-        let max_connections = relay.most_connections(&call.service);
+fn remaining_back_off(relay: &Relay, call: &Call) -> Option<Duration> {
+    relay.remaining_back_off(&call.service_name, call.draw, |fleet, cx| {
+        let max_connections = relay.connection_share(&call.service);
         select::instance(fleet, &call.service_name, max_connections, cx).is_some()
     })
 }
@@ -150,10 +150,10 @@
     relay: &Rc<Relay>,
     call: &Call,
     key: EngineKey,
-) -> Result<Response<Body>, Unanswered> {
+) -> Result<Response<Body>, SendFailure> {
     let to = exchange::recipient(relay, key)?;
-    let occupied = Occupied::new(relay, vec![key], 0.0, 0.0);
-    let add = Addition {
+    let occupied = RequestGuard::new(relay, vec![key], 0.0, 0.0);
+    let add = AddedFields {
         deadline: call.left(relay),
         target_run: &to.run.id,
         account: call.account.as_deref(),
@@ -162,27 +162,27 @@
         last_event: None,
     };
     let sending = target::send(to.address, exchange::request(relay, call, &add));
-    let answer = match relay.until_due(call.due, sending).await {
-        None => return Err(Unanswered::Late),
+    let answer = match relay.run_until(call.due, sending).await {
+        None => return Err(SendFailure::Late),
         Some(Err(SendError::NotConnected(why))) => {
-            return Err(exchange::not_connected(relay, key, &why));
+            return Err(exchange::connect_failed(relay, key, &why));
         }
         Some(Err(SendError::Broken(why) | SendError::Stale(why))) => {
             return Err(target_disconnected(relay, call, &to, why).await);
         }
         Some(Ok(answer)) => answer,
     };
-    let head = exchange::head_of(relay, call, &to, &answer.response);
+    let head = exchange::decode_head(relay, call, &to, &answer.response);
     if exchange::proves_not_run(call, &head) {
         let why = format!("status {}", answer.response.status());
-        return Err(Unanswered::NotRun(NeverStarted::TargetSaidSo, why));
+        return Err(SendFailure::NotRun(NeverStarted::TargetSaidSo, why));
     }
-    if let Some(why) = exchange::mistrust(call, &head, &answer.response) {
+    if let Some(why) = exchange::rejection_reason(call, &head, &answer.response) {
         return Err(failed(relay, key, why.to_owned()));
     }
     let receiving = receive(relay, call, answer.response, answer.connection, occupied);
-    match relay.until_due(call.due, receiving).await {
-        None => Err(Unanswered::Late),
+    match relay.run_until(call.due, receiving).await {
+        None => Err(SendFailure::Late),
         Some(Ok(response)) => Ok(response),
         Some(Err(why)) => Err(target_disconnected(relay, call, &to, why).await),
     }
@@ -194,15 +194,15 @@
     call: &Call,
     to: &Recipient,
     why: String,
-) -> Unanswered {
-    relay.target_broke_off(call, to, Progress::Unknown).await;
+) -> SendFailure {
+    relay.target_disconnected(call, to, Progress::Unknown).await;
     failed(relay, to.key, why)
 }
 
 /// Records the failure of a target that may have run the request.
-fn failed(relay: &Relay, key: EngineKey, why: String) -> Unanswered {
+fn failed(relay: &Relay, key: EngineKey, why: String) -> SendFailure {
     relay.target_failed(key, &why);
-    Unanswered::Lost(why)
+    SendFailure::Lost(why)
 }
 
 /// Reads a response. Responses of up to [`MAX_BUFFERED_BYTES`] are buffered until they are complete.
@@ -211,7 +211,7 @@
     call: &Call,
     response: Response<Incoming>,
     connection: Connection,
-    occupied: Occupied,
+    occupied: RequestGuard,
 ) -> Result<Response<Body>, String> {
     let (mut parts, mut body) = response.into_parts();
     parts.headers = relay.wire.backward(&parts.headers);
@@ -219,7 +219,7 @@
     if length.is_some_and(|length| length > MAX_BUFFERED_BYTES) {
         let passed_on = body.map_err(move |_| {
             let _ = (&connection, &occupied);
-            CutShort
+            BodyTruncated
         });
         return Ok(Response::from_parts(parts, Box::pin(passed_on)));
     }
@@ -227,7 +227,7 @@
     let mut buffered = BytesMut::new();
     while buffered.len() as u64 <= MAX_BUFFERED_BYTES {
         let Some(frame) = body.frame().await else {
-            relay.answered_whole(call);
+            relay.record_completion(call);
             return Ok(Response::from_parts(parts, answer::whole(buffered)));
         };
         let frame = frame.map_err(|err| err.to_string())?;
@@ -238,7 +238,7 @@
         let _keep = (connection, occupied);
         yield Ok(Frame::data(buffered.freeze()));
         while let Some(frame) = body.frame().await {
-            let frame = frame.map_err(|_| CutShort);
+            let frame = frame.map_err(|_| BodyTruncated);
             let is_cut = frame.is_err();
             yield frame;
             if is_cut {
--- a/reachtally-relay/src/wire.rs
+++ b/reachtally-relay/src/wire.rs
@@ -22,7 +22,7 @@
     /// Number of tokens of the prompt.
     pub prompt_tokens: f64,
     /// Maximum number of tokens of the answer.
-    pub most_answer_tokens: f64,
+    pub max_answer_tokens: f64,
     /// Caller's estimate of the number of tokens of the answer, accurate in the median.
     pub answer_hint: Option<f64>,
     /// Id of the last event that the caller has, if it resumes a stream.
@@ -31,7 +31,7 @@
 
 /// Header values that the relay adds to a request for a target.
 #[derive(Debug, Clone, Copy)]
-pub struct Addition<'a> {
+pub struct AddedFields<'a> {
     /// Time until the deadline.
     pub deadline: Duration,
     /// Run of the target that must handle the request; any other run refuses it.
@@ -125,7 +125,7 @@
     fn call(&self, headers: &HeaderMap) -> Result<CallHead, BadHead>;
 
     /// Returns the headers for a target: the caller's headers that are passed on, and those of `add`.
-    fn forward(&self, headers: &HeaderMap, add: &Addition<'_>) -> HeaderMap;
+    fn forward(&self, headers: &HeaderMap, add: &AddedFields<'_>) -> HeaderMap;
 
     /// Decodes the head of a target's response.
     fn answer(&self, status: u16, headers: &HeaderMap) -> AnswerHead;
