--- a/reachtally-bench/src/relay/boxed.rs
+++ b/reachtally-bench/src/relay/boxed.rs
@@ -142,7 +142,7 @@
     };
     let relay = Rc::new(Relay::new(settings, Box::new(BenchWire)));
     relay.publish(&"bench".into())?;
-    relay.target_wrote(Entry {
+    relay.update_target(Entry {
         id: "e1".into(),
         born: None,
         service: "pool".into(),
--- a/reachtally-daemon/src/actor.rs
+++ b/reachtally-daemon/src/actor.rs
@@ -296,8 +296,12 @@
                 self.performer.probe(target, url);
             }
             Effect::Append { seq, record } => self.performer.append(seq, &record),
-            Effect::Gossip { to, members } => self.performer.tell(to, Wire::Digest(members)),
-            Effect::PushConfig { to, records } => self.performer.tell(to, Wire::Records(records)),
+            Effect::Gossip { to, members } => {
+                self.performer.send_message(to, Wire::Digest(members))
+            }
+            Effect::PushConfig { to, records } => {
+                self.performer.send_message(to, Wire::Records(records))
+            }
             Effect::PullConfig { from, next } => self.performer.pull(from, next),
             Effect::Revalidate { nonce, next, peers } => {
                 self.performer.revalidate(nonce, next, peers);
--- a/reachtally-daemon/src/perform.rs
+++ b/reachtally-daemon/src/perform.rs
@@ -55,7 +55,7 @@
 }
 
 async fn pull_from(peer: &str, next: u64) -> Option<PeerConfig> {
-    match link::ask(peer, Message::Pull(next)).await {
+    match link::request(peer, Message::Pull(next)).await {
         Ok(Message::Records(records)) => Some(PeerConfig::Records(records)),
         Ok(Message::Snapshot(config)) => Some(PeerConfig::Snapshot(config)),
         Ok(Message::Digest(_) | Message::Pull(_)) | Err(_) => None,
@@ -129,9 +129,9 @@
     }
 
     /// Send a message to another daemon. Nothing rests on its arrival.
-    pub fn tell(&self, to: String, message: Message) {
+    pub fn send_message(&self, to: String, message: Message) {
         tokio::spawn(async move {
-            link::tell(&to, message).await.ok();
+            link::send_message(&to, message).await.ok();
         });
     }
 
--- a/reachtally-protocol/src/link.rs
+++ b/reachtally-protocol/src/link.rs
@@ -25,7 +25,7 @@
 ///
 /// # Errors
 /// [`Error`] if the message can't be sent within the timeout.
-pub async fn tell(address: &str, message: Message) -> Result<(), Error> {
+pub async fn send_message(address: &str, message: Message) -> Result<(), Error> {
     with_timeout(async {
         let mut link = link(TcpStream::connect(address).await?);
         link.send(message).await
@@ -37,7 +37,7 @@
 ///
 /// # Errors
 /// [`Error`] if no answer arrives within the timeout, or the other daemon closes the connection without one.
-pub async fn ask(address: &str, message: Message) -> Result<Message, Error> {
+pub async fn request(address: &str, message: Message) -> Result<Message, Error> {
     with_timeout(async {
         let mut link = link(TcpStream::connect(address).await?);
         link.send(message).await?;
--- a/reachtally-protocol/src/news.rs
+++ b/reachtally-protocol/src/news.rs
@@ -17,7 +17,7 @@
 
 /// Requests updates relative to the state that the requesting box holds.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
-pub struct Ask {
+pub struct UpdateRequest {
     /// Version of the held configuration; 0 for none.
     pub config_version: u64,
     /// How far the requesting box has applied the target changes of the answering box.
@@ -30,7 +30,7 @@
 
 /// The state that is newer than what the requesting box holds.
 #[derive(Debug, Clone, PartialEq, Default)]
-pub struct News {
+pub struct Update {
     /// Age of the read that last confirmed the configuration.
     pub confirmed_age: Option<Duration>,
     /// Age of the last read of the targets.
@@ -72,25 +72,25 @@
     ///
     /// # Errors
     /// Not expected to fail, since input and output are in memory.
-    pub fn pack(&self) -> std::io::Result<Bytes> {
+    pub fn compress(&self) -> std::io::Result<Bytes> {
         let message = pb::TargetPage {
             is_whole: self.is_whole,
             wrote: self.wrote.iter().map(entry_to_wire).collect(),
             lapsed: self.lapsed.clone(),
             gone: self.gone.clone(),
         };
-        packed::pack(&message.encode_to_vec())
+        packed::compress(&message.encode_to_vec())
     }
 
     /// Decompresses and decodes a page.
     ///
     /// # Errors
     /// [`Error::Unpack`], [`Error::Decode`], or [`Error::Missing`] for an invalid address.
-    pub fn unpack(page: &[u8]) -> Result<Self, Error> {
+    pub fn decompress(page: &[u8]) -> Result<Self, Error> {
         if page.is_empty() {
             return Ok(TargetPage::default());
         }
-        let unpacked = packed::unpack(page).map_err(Error::Unpack)?;
+        let unpacked = packed::decompress(page).map_err(Error::Unpack)?;
         let message = pb::TargetPage::decode(unpacked).map_err(Error::Decode)?;
         let wrote: Result<Vec<Entry>, Error> =
             message.wrote.into_iter().map(entry_from_wire).collect();
@@ -110,7 +110,7 @@
     builder.new_codec()
 }
 
-impl Ask {
+impl UpdateRequest {
     /// Encodes the content of a frame.
     pub fn encode(&self) -> Bytes {
         let message = generated::AskMessage {
@@ -131,7 +131,7 @@
     /// [`Error::Decode`].
     pub fn decode(bytes: &[u8]) -> Result<Self, Error> {
         let message = generated::AskMessage::decode(bytes).map_err(Error::Decode)?;
-        Ok(Ask {
+        Ok(UpdateRequest {
             config_version: message.config_version,
             targets: Cursor {
                 run: message.targets_run,
@@ -143,7 +143,7 @@
     }
 }
 
-impl News {
+impl Update {
     /// Encodes the content of a frame.
     pub fn encode(&self) -> Bytes {
         let message = generated::NewsMessage {
@@ -172,7 +172,7 @@
         let message = generated::NewsMessage::decode(bytes).map_err(Error::Decode)?;
         let members: Result<Vec<Member>, Error> =
             message.members.into_iter().map(member_from_wire).collect();
-        Ok(News {
+        Ok(Update {
             // Rounds up: the state must never appear newer than it is.
             confirmed_age: message
                 .confirmed_age_ms
--- a/reachtally-protocol/src/packed.rs
+++ b/reachtally-protocol/src/packed.rs
@@ -14,7 +14,7 @@
 ///
 /// # Errors
 /// Not expected to fail, since input and output are in memory.
-pub fn pack(data: &[u8]) -> io::Result<Bytes> {
+pub fn compress(data: &[u8]) -> io::Result<Bytes> {
     let mut encoder = DeflateEncoder::new(Vec::new(), Compression::fast());
     encoder.write_all(data)?;
     Ok(encoder.finish()?.into())
@@ -24,7 +24,7 @@
 ///
 /// # Errors
 /// If `packed` is not valid deflate data, or the decompressed data are longer than that.
-pub fn unpack(packed: &[u8]) -> io::Result<Bytes> {
+pub fn decompress(packed: &[u8]) -> io::Result<Bytes> {
     let mut data = Vec::new();
     let limit = FRAME_MAX as u64 + 1;
     DeflateDecoder::new(packed)
--- a/reachtally-protocol/src/suspects.rs
+++ b/reachtally-protocol/src/suspects.rs
@@ -29,7 +29,7 @@
 }
 
 /// Encodes a suspect request to be persisted until `expires`, as time since the Unix epoch.
-pub fn encode_kept(suspect: &SuspectReport, expires: Duration) -> Bytes {
+pub fn encode_stored(suspect: &SuspectReport, expires: Duration) -> Bytes {
     let stored = relay::KeptSuspect {
         suspect: Some(suspect_to_wire(suspect)),
         expires_s: expires.as_secs(),
@@ -42,7 +42,7 @@
 ///
 /// # Errors
 /// [`SuspectError`] if the bytes are malformed or the fingerprint has the wrong length.
-pub fn decode_kept(bytes: &[u8], now: Duration) -> Result<SuspectReport, SuspectError> {
+pub fn decode_stored(bytes: &[u8], now: Duration) -> Result<SuspectReport, SuspectError> {
     let stored = relay::KeptSuspect::decode(bytes).map_err(SuspectError::Malformed)?;
     let suspect = suspect_from_wire(stored.suspect.unwrap_or_default())?;
     let expires = Duration::from_secs(stored.expires_s);
--- a/reachtally-protocol/tests/protocol/relay.rs
+++ b/reachtally-protocol/tests/protocol/relay.rs
@@ -19,7 +19,7 @@
     SuspectReport,
 };
 use reachtally_core::ids::Incarnation;
-use reachtally_protocol::news::{Ask, News, TargetPage};
+use reachtally_protocol::news::{TargetPage, Update, UpdateRequest};
 use reachtally_protocol::suspects::{self, SuspectError};
 use reachtally_protocol::{load, packed};
 
@@ -48,7 +48,7 @@
 
 #[test]
 fn questions_and_answers_survive() {
-    let ask = Ask {
+    let ask = UpdateRequest {
         targets_end: Position {
             era: Era(3),
             offset: 812,
@@ -60,8 +60,11 @@
         config_version: 9,
         targets: Cursor { run: 5, next: 77 },
     };
-    assert_eq!(Ask::decode(&ask.encode()).expect("it decodes"), ask);
-    let news = News {
+    assert_eq!(
+        UpdateRequest::decode(&ask.encode()).expect("it decodes"),
+        ask
+    );
+    let news = Update {
         targets_end: Position {
             era: Era(3),
             offset: 812,
@@ -79,7 +82,7 @@
         targets: Cursor { run: 5, next: 80 },
         page: Bytes::from_static(b"packed"),
     };
-    assert_eq!(News::decode(news.encode()).expect("it decodes"), news);
+    assert_eq!(Update::decode(news.encode()).expect("it decodes"), news);
 }
 
 #[test]
@@ -90,11 +93,11 @@
         lapsed: vec!["run-1".to_owned()],
         gone: vec!["run-2".to_owned()],
     };
-    let packed = page.pack().expect("it packs");
-    assert_eq!(TargetPage::unpack(&packed).expect("it unpacks"), page);
-    let nothing = TargetPage::unpack(&[]).expect("it is no page");
+    let packed = page.compress().expect("it packs");
+    assert_eq!(TargetPage::decompress(&packed).expect("it unpacks"), page);
+    let nothing = TargetPage::decompress(&[]).expect("it is no page");
     assert_eq!(nothing, TargetPage::default());
-    assert!(TargetPage::unpack(&packed[..packed.len() / 2]).is_err());
+    assert!(TargetPage::decompress(&packed[..packed.len() / 2]).is_err());
 }
 
 /// Figure before: some 90 bytes a target.
@@ -115,7 +118,7 @@
         wrote: (0..3000).map(target).collect(),
         ..TargetPage::default()
     };
-    let packed = page.pack().expect("it packs");
+    let packed = page.compress().expect("it packs");
     assert!(packed.len() < 3000 * 36, "{} bytes", packed.len());
 }
 
@@ -123,11 +126,11 @@
 fn an_age_never_becomes_smaller_on_the_way() {
     for micros in [0, 1, 999, 1_000, 1_001, 999_999] {
         let age = Duration::from_micros(micros);
-        let news = News {
+        let news = Update {
             confirmed_age: Some(age),
-            ..News::default()
+            ..Update::default()
         };
-        let decoded = News::decode(news.encode()).expect("it decodes");
+        let decoded = Update::decode(news.encode()).expect("it decodes");
         assert!(decoded.confirmed_age.expect("it is told") >= age);
     }
 }
@@ -337,16 +340,16 @@
 fn what_is_kept_of_a_request_is_read_with_the_time_that_is_left() {
     let told = suspect(3);
     let secs = Duration::from_secs;
-    let kept = suspects::encode_kept(&told, secs(1_000));
-    let read = |now| suspects::decode_kept(&kept, secs(now)).expect("it decodes");
+    let kept = suspects::encode_stored(&told, secs(1_000));
+    let read = |now| suspects::decode_stored(&kept, secs(now)).expect("it decodes");
     let left = |life| SuspectReport {
         life: secs(life),
         ..told.clone()
     };
     assert_eq!(read(970), left(30));
     assert_eq!(read(1_001), left(0));
-    assert!(suspects::decode_kept(b"another writer's", secs(0)).is_err());
-    assert!(suspects::decode_kept(&[], secs(0)).is_err());
+    assert!(suspects::decode_stored(b"another writer's", secs(0)).is_err());
+    assert!(suspects::decode_stored(&[], secs(0)).is_err());
 }
 
 #[test]
@@ -378,29 +381,29 @@
     #[test]
     fn strangers_bytes_never_panic(bytes in proptest::collection::vec(any::<u8>(), 0..200)) {
         let _ = load::decode(&bytes);
-        let _ = Ask::decode(&bytes);
-        let _ = TargetPage::unpack(&bytes);
-        let _ = News::decode(bytes.into());
+        let _ = UpdateRequest::decode(&bytes);
+        let _ = TargetPage::decompress(&bytes);
+        let _ = Update::decode(bytes.into());
     }
 }
 
 proptest! {
     #[test]
     fn a_packed_text_is_unpacked_whole(text in proptest::collection::vec(any::<u8>(), 0..4096)) {
-        let packed = packed::pack(&text).expect("it packs");
-        prop_assert_eq!(&packed::unpack(&packed).expect("it unpacks")[..], &text[..]);
+        let packed = packed::compress(&text).expect("it packs");
+        prop_assert_eq!(&packed::decompress(&packed).expect("it unpacks")[..], &text[..]);
     }
 
     #[test]
     fn nonsense_is_refused_or_unpacked_without_a_panic(bytes in proptest::collection::vec(any::<u8>(), 0..512)) {
         // Some nonsense is a packed text by chance; the configuration's decoder judges that.
-        let _ = packed::unpack(&bytes);
+        let _ = packed::decompress(&bytes);
     }
 }
 
 #[test]
 fn a_text_that_unpacks_without_end_is_refused() {
-    let packed = packed::pack(&vec![0; reachtally_protocol::FRAME_MAX + 1]).expect("it packs");
+    let packed = packed::compress(&vec![0; reachtally_protocol::FRAME_MAX + 1]).expect("it packs");
     assert!(packed.len() < 1 << 20);
-    assert!(packed::unpack(&packed).is_err());
+    assert!(packed::decompress(&packed).is_err());
 }
--- a/reachtally-relay/src/exchange.rs
+++ b/reachtally-relay/src/exchange.rs
@@ -96,7 +96,7 @@
         engine.reported_remote_at = now;
     }
     drop(fleet);
-    relay.target_said(&from.run, head.said);
+    relay.apply_statement(&from.run, head.said);
     if head.said.limit == LimitHeader::Absent && is_from_target(call, &head) {
         relay.target_names_no_limit(&from.run);
     }
--- a/reachtally-relay/src/follow/absent.rs
+++ b/reachtally-relay/src/follow/absent.rs
@@ -14,7 +14,7 @@
 const DEAD_PROBE_INTERVAL: Duration = Duration::from_millis(700);
 
 /// Removes targets whose entries stay missing, for the lifetime of the process.
-pub async fn targets_missing(relay: Rc<Relay>) {
+pub async fn watch_missing_targets(relay: Rc<Relay>) {
     loop {
         sleep(MISSING_CHECK_INTERVAL).await;
         relay.remove_missing();
@@ -23,7 +23,7 @@
 
 /// Checks failure domains that may be unreachable, and probes dead targets and unreachable domains, for the lifetime of the
 /// process.
-pub async fn targets_dead(relay: Rc<Relay>) {
+pub async fn watch_dead_targets(relay: Rc<Relay>) {
     let probing = async {
         loop {
             sleep(DEAD_PROBE_INTERVAL).await;
--- a/reachtally-relay/src/follow/config.rs
+++ b/reachtally-relay/src/follow/config.rs
@@ -42,7 +42,7 @@
         relay.is_store_unreachable.set(applied.is_err());
         match applied {
             Ok(position) => {
-                if dependency.regained(relay.now()) {
+                if dependency.record_recovery(relay.now()) {
                     relay.suspicion.store_back.notify_one();
                 }
                 backoff.reset();
@@ -60,7 +60,7 @@
                 backoff.wait(&relay).await;
             }
             Err(err) => {
-                dependency.lost(&relay, &err);
+                dependency.record_loss(&relay, &err);
                 if err == StoreError::Gone {
                     backoff.reset();
                 }
--- a/reachtally-relay/src/follow/dependency.rs
+++ b/reachtally-relay/src/follow/dependency.rs
@@ -23,7 +23,7 @@
         self.lost_at.is_some()
     }
 
-    pub(crate) fn lost(&mut self, relay: &Relay, why: &StoreError) {
+    pub(crate) fn record_loss(&mut self, relay: &Relay, why: &StoreError) {
         relay.count(|tally| tally.store_reads_failed += 1);
         let now = relay.now();
         if self.lost_at.is_none() {
@@ -32,7 +32,7 @@
         }
     }
 
-    pub(crate) fn regained(&mut self, now: Instant) -> bool {
+    pub(crate) fn record_recovery(&mut self, now: Instant) -> bool {
         let Some(at) = self.lost_at.take() else {
             return false;
         };
--- a/reachtally-relay/src/follow/mod.rs
+++ b/reachtally-relay/src/follow/mod.rs
@@ -7,7 +7,7 @@
 mod suspects;
 mod targets;
 
-pub use absent::{targets_dead, targets_missing};
+pub use absent::{watch_dead_targets, watch_missing_targets};
 pub use config::config;
 pub(crate) use dependency::Dependency;
 pub use suspects::suspects;
--- a/reachtally-relay/src/follow/suspects.rs
+++ b/reachtally-relay/src/follow/suspects.rs
@@ -47,10 +47,10 @@
     loop {
         match store.suspects().await {
             Ok(stored) => {
-                dependency.regained(relay.now());
+                dependency.record_recovery(relay.now());
                 return stored;
             }
-            Err(err) => dependency.lost(relay, &err),
+            Err(err) => dependency.record_loss(relay, &err),
         }
         backoff.wait(relay).await;
     }
@@ -79,11 +79,11 @@
         match store.change_suspects(&changes).await {
             Ok(()) => {
                 relay.mark_suspects_saved(&changes);
-                dependency.regained(relay.now());
+                dependency.record_recovery(relay.now());
                 backoff.reset();
             }
             Err(err) => {
-                dependency.lost(relay, &err);
+                dependency.record_loss(relay, &err);
                 backoff.wait(relay).await;
             }
         }
--- a/reachtally-relay/src/follow/targets.rs
+++ b/reachtally-relay/src/follow/targets.rs
@@ -114,7 +114,7 @@
                 NextRead::AfterBackoff
             }
             Err(err) => {
-                self.dependency.lost(relay, &err);
+                self.dependency.record_loss(relay, &err);
                 if err == StoreError::Gone {
                     self.backoff.reset();
                 }
@@ -125,7 +125,7 @@
     }
 
     fn succeeded(&mut self, now: Instant) {
-        if self.dependency.regained(now) {
+        if self.dependency.record_recovery(now) {
             self.recovered_at = Some(now);
         }
         self.failures = 0;
--- a/reachtally-relay/src/group.rs
+++ b/reachtally-relay/src/group.rs
@@ -181,11 +181,11 @@
         let (membership, era) = match dated {
             Ok(dated) => dated,
             Err(err) => {
-                self.dependency.lost(&self.relay, &err);
+                self.dependency.record_loss(&self.relay, &err);
                 return false;
             }
         };
-        self.dependency.regained(self.relay.now());
+        self.dependency.record_recovery(self.relay.now());
         let generation = Generation {
             era,
             number: membership.generation,
--- a/reachtally-relay/src/pace.rs
+++ b/reachtally-relay/src/pace.rs
@@ -54,7 +54,7 @@
         return;
     };
     let Told { answer, said } = orders.pace(&engine).await;
-    relay.target_said(&engine.entry.run(), said);
+    relay.apply_statement(&engine.entry.run(), said);
     let Some(pace) = answer else {
         return;
     };
--- a/reachtally-relay/src/relay.rs
+++ b/reachtally-relay/src/relay.rs
@@ -34,10 +34,10 @@
 use crate::quarantine::QuarantineState;
 use crate::rhythm::ReadIntervals;
 use crate::second_sends::SecondSends;
-use crate::share::Pages;
+use crate::share::PageCache;
 use crate::shares::ShareState;
 use crate::slow_engines::SlowEngines;
-use crate::stream::Pool;
+use crate::stream::ReadAheadPool;
 use crate::targets::DomainChecks;
 use crate::wire::Wire;
 
@@ -110,7 +110,7 @@
     /// Request rates and fair shares of client accounts.
     pub(crate) shares: ShareState,
     /// Memory pool for stream data that is read ahead of callers.
-    pub(crate) read_ahead: Arc<Pool>,
+    pub(crate) read_ahead: Arc<ReadAheadPool>,
     news: watch::Sender<()>,
     /// Targets that were most recently found restarted or dead.
     pub(crate) runs_ended: watch::Sender<Vec<EngineKey>>,
@@ -134,7 +134,7 @@
     /// Recent target changes to send to other boxes.
     pub changes: RefCell<ChangeLog>,
     /// Recently sent pages of target changes.
-    pub(crate) pages: RefCell<Pages>,
+    pub(crate) pages: RefCell<PageCache>,
     clock: Clock,
 }
 
@@ -236,7 +236,7 @@
     /// # Errors
     /// Returns a description of the problem and keeps the current configuration if `raw` is invalid.
     pub fn publish(&self, raw: &Bytes) -> Result<(), String> {
-        self.publish_with(raw, || packed::pack(raw))
+        self.publish_with(raw, || packed::compress(raw))
     }
 
     /// Applies a configuration in its packed form, as received from another box.
@@ -244,7 +244,7 @@
     /// # Errors
     /// Returns a description of the problem and keeps the current configuration if `raw` is invalid.
     pub fn publish_packed(&self, packed: &Bytes) -> Result<(), String> {
-        let raw = packed::unpack(packed).map_err(|err| err.to_string())?;
+        let raw = packed::decompress(packed).map_err(|err| err.to_string())?;
         self.publish_with(&raw, || Ok(packed.clone()))
     }
 
--- a/reachtally-relay/src/share/answer.rs
+++ b/reachtally-relay/src/share/answer.rs
@@ -9,7 +9,7 @@
 use reachtally_core::forward::changes::{ChangeLog, Cursor, Delta};
 use reachtally_core::forward::fleet::Engine;
 use reachtally_core::ids::Incarnation;
-use reachtally_protocol::news::{Ask, News, TargetPage, frames};
+use reachtally_protocol::news::{TargetPage, Update, UpdateRequest, frames};
 use tokio::net::{TcpListener, TcpStream};
 use tokio::time::{sleep, timeout};
 use tokio_util::codec::Framed;
@@ -50,7 +50,7 @@
             return Ok(());
         };
         let frame = frame.map_err(|err| err.to_string())?;
-        let request = Ask::decode(&frame).map_err(|err| err.to_string())?;
+        let request = UpdateRequest::decode(&frame).map_err(|err| err.to_string())?;
         let update = answer(relay, &request, run).await;
         link.send(update.encode())
             .await
@@ -60,7 +60,7 @@
 
 /// Waits at most [`LONG_POLL_TIMEOUT`] for an update that is fresh enough to be sent, and returns the current state. A box that
 /// has just taken over as store reader needs a moment until its state is fresh.
-async fn answer(relay: &Relay, request: &Ask, run: Incarnation) -> News {
+async fn answer(relay: &Relay, request: &UpdateRequest, run: Incarnation) -> Update {
     let mut changes = relay.news();
     let update_ready = async {
         loop {
@@ -78,7 +78,7 @@
     current_update(relay, request, run)
 }
 
-fn has_update(relay: &Relay, request: &Ask, run: Incarnation) -> bool {
+fn has_update(relay: &Relay, request: &UpdateRequest, run: Incarnation) -> bool {
     let version = relay.configuration.version();
     let targets = Cursor {
         run: run.0,
@@ -90,12 +90,12 @@
         || relay.group_generation() > request.group_generation
 }
 
-fn current_update(relay: &Relay, request: &Ask, run: Incarnation) -> News {
+fn current_update(relay: &Relay, request: &UpdateRequest, run: Incarnation) -> Update {
     let version = relay.configuration.version();
     let is_newer = version > request.config_version;
     let eras = relay.eras.get();
     let changes = relay.changes.borrow();
-    let mut update = News {
+    let mut update = Update {
         confirmed_age: relay.configuration.age(relay.now()),
         targets_age: relay.targets_read.get().map(|at| relay.now().since(at)),
         config: if is_newer {
@@ -110,7 +110,7 @@
         targets_end: relay.targets_end.get(),
         era: eras.known(),
         era_age: eras.changed_at().map(|at| relay.now().since(at)),
-        ..News::default()
+        ..Update::default()
     };
     let generation = relay.group_generation();
     if generation > request.group_generation {
@@ -131,14 +131,14 @@
 /// Cache of compressed pages, by the position of the requesting box. After a start, or a change that affects all boxes, a hundred
 /// boxes request the same page.
 #[derive(Debug, Default)]
-pub(crate) struct Pages {
+pub(crate) struct PageCache {
     /// Number of the next change when the pages were built.
     next: u64,
     /// Pages by the change at which they start.
     by_start: HashMap<Option<u64>, Bytes>,
 }
 
-impl Pages {
+impl PageCache {
     fn page(
         &mut self,
         relay: &Relay,
@@ -181,7 +181,7 @@
             }
         }
     }
-    page.pack()
+    page.compress()
 }
 
 fn add_entry(page: &mut TargetPage, engine: &Engine) {
--- a/reachtally-relay/src/share/ask.rs
+++ b/reachtally-relay/src/share/ask.rs
@@ -10,7 +10,7 @@
 use reachtally_core::forward::fleet::{Entry, EntrySource};
 use reachtally_core::forward::readers::{GroupView, ReadSource};
 use reachtally_core::ids::Incarnation;
-use reachtally_protocol::news::{Ask, News, TargetPage, frames};
+use reachtally_protocol::news::{TargetPage, Update, UpdateRequest, frames};
 use tokio::time::{sleep, timeout};
 use tokio_util::codec::Framed;
 
@@ -278,8 +278,8 @@
 }
 
 /// Sends a request and reads the answer.
-async fn request_update(relay: &Relay, source: &mut Source) -> Result<News, String> {
-    let request = Ask {
+async fn request_update(relay: &Relay, source: &mut Source) -> Result<Update, String> {
+    let request = UpdateRequest {
         config_version: relay.configuration.version(),
         targets: source.targets,
         targets_end: relay.targets_end.get(),
@@ -288,14 +288,14 @@
     let sent = source.link.send(request.encode()).await;
     sent.map_err(|err| err.to_string())?;
     match source.link.next().await {
-        Some(Ok(frame)) => News::decode(frame.freeze()).map_err(|err| err.to_string()),
+        Some(Ok(frame)) => Update::decode(frame.freeze()).map_err(|err| err.to_string()),
         Some(Err(err)) => Err(err.to_string()),
         None => Err("connection closed without an answer".to_owned()),
     }
 }
 
 /// Applies the parts of an update that are valid at any age: the store epoch, and a configuration newer than the held one.
-fn apply_ageless(relay: &Relay, update: &News) -> Result<(), String> {
+fn apply_ageless(relay: &Relay, update: &Update) -> Result<(), String> {
     if let Some(era) = update.era {
         relay.merge_era(era, update.era_age);
     }
@@ -315,7 +315,11 @@
 
 /// Checks the freshness of an update. Returns `None` if the source has no configuration while the first one may still be
 /// published.
-fn ages(relay: &Relay, update: &News, requested_at: Instant) -> Result<Option<Ages>, SourceError> {
+fn ages(
+    relay: &Relay,
+    update: &Update,
+    requested_at: Instant,
+) -> Result<Option<Ages>, SourceError> {
     let Some(configuration) = update.confirmed_age else {
         let grace_period = match relay.members.borrow().is_empty() {
             true => SEED_CONFIGURATION_TIMEOUT,
@@ -348,13 +352,13 @@
 
 /// Applies an update; returns whether its targets were applied. Targets as of an earlier store position than the held ones are
 /// ignored, since they would restore targets that have left.
-fn apply(relay: &Relay, source: &mut Source, update: News) -> Result<bool, String> {
+fn apply(relay: &Relay, source: &mut Source, update: Update) -> Result<bool, String> {
     relay.set_members(update.members, update.group_generation);
     if update.targets_end < relay.targets_end.get() {
         log::debug!(event = "source-behind", from:% = source.ip, end:? = update.targets_end, held:? = relay.targets_end.get(); "ignored the targets of a source: older than the held ones");
         return Ok(false);
     }
-    let page = TargetPage::unpack(&update.page).map_err(|err| err.to_string())?;
+    let page = TargetPage::decompress(&update.page).map_err(|err| err.to_string())?;
     source.targets = update.targets;
     if page.is_whole {
         relay.replace_targets(page.wrote, false);
--- a/reachtally-relay/src/share/mod.rs
+++ b/reachtally-relay/src/share/mod.rs
@@ -19,7 +19,7 @@
 
 use crate::relay::Relay;
 
-pub(crate) use answer::Pages;
+pub(crate) use answer::PageCache;
 pub use answer::serve;
 pub use ask::ask;
 
--- a/reachtally-relay/src/steward.rs
+++ b/reachtally-relay/src/steward.rs
@@ -129,7 +129,7 @@
         };
         sent.push(async move {
             let Told { answer, said } = orders.place(&engine, &placed, permit).await;
-            relay.target_said(&engine.entry.run(), said);
+            relay.apply_statement(&engine.entry.run(), said);
             if answer == OrderAnswer::Superseded && role.borrow_mut().superseded(permit) {
                 log::info!(event = "superseded", target = &*engine.entry.id, token:? = permit.token(); "another box has become the steward");
             }
--- a/reachtally-relay/src/stream/ahead.rs
+++ b/reachtally-relay/src/stream/ahead.rs
@@ -15,13 +15,13 @@
 
 /// Bytes held for all streams of the box.
 #[derive(Debug, Default)]
-pub(crate) struct Pool {
+pub(crate) struct ReadAheadPool {
     held: AtomicUsize,
     /// Wakes a stream that waits for other streams to release bytes.
     released: Notify,
 }
 
-impl Pool {
+impl ReadAheadPool {
     /// Returns the number of bytes that callers have not consumed yet.
     pub fn held(&self) -> usize {
         self.held.load(Ordering::Relaxed)
@@ -31,7 +31,7 @@
 /// Bytes held for one stream.
 #[derive(Debug)]
 struct Usage {
-    pool: Arc<Pool>,
+    pool: Arc<ReadAheadPool>,
     held: AtomicUsize,
     consumed: Notify,
 }
--- a/reachtally-relay/src/stream/mod.rs
+++ b/reachtally-relay/src/stream/mod.rs
@@ -29,7 +29,7 @@
 use crate::relay::Relay;
 use crate::serve::Call;
 use crate::target::Driver;
-pub(crate) use ahead::Pool;
+pub(crate) use ahead::ReadAheadPool;
 use ahead::{EventQueue, Item, Readiness};
 use chain::{RunningChain, StopReason};
 use send::EngineAnswer;
--- a/reachtally-relay/src/stream/repair.rs
+++ b/reachtally-relay/src/stream/repair.rs
@@ -118,7 +118,7 @@
         silent_for: Duration,
     ) -> Outcome {
         let answer = answer.map_or(RepairAnswer::Lost, |answer| {
-            relay.target_said(&first.run, answer.said);
+            relay.apply_statement(&first.run, answer.said);
             answer.answer
         });
         let id = &*call.head.id;
--- a/reachtally-relay/src/targets/answers.rs
+++ b/reachtally-relay/src/targets/answers.rs
@@ -38,7 +38,7 @@
     }
 
     /// Applies what a target states about itself in an answer.
-    pub fn target_said(&self, run: &TargetRun, statement: Statement) {
+    pub fn apply_statement(&self, run: &TargetRun, statement: Statement) {
         if let Some(back_off) = statement.back_off {
             self.target_requests_back_off(run, back_off);
         }
--- a/reachtally-relay/src/targets/entries.rs
+++ b/reachtally-relay/src/targets/entries.rs
@@ -18,7 +18,7 @@
 
 impl Relay {
     /// Updates a target from an entry that it wrote.
-    pub fn target_wrote(&self, entry: Entry) {
+    pub fn update_target(&self, entry: Entry) {
         self.update_targets(vec![(entry, EntrySource::Written)]);
     }
 
