--- a/reachtally-bench/src/control.rs
+++ b/reachtally-bench/src/control.rs
@@ -13,7 +13,7 @@
 use reachtally_core::event::Read;
 use reachtally_core::fold::{Config, Operation};
 use reachtally_core::member::{GOSSIP_INTERVAL, MemberState};
-use reachtally_core::request::{Ask, Completion, Work};
+use reachtally_core::request::{Completion, NewRequest, Work};
 use reachtally_core::{Effect, Effects, Event, Incarnation, Instant, Limits, World};
 use reachtally_protocol::Message;
 use reachtally_protocol::codec::Codec;
@@ -153,7 +153,7 @@
     let mut admit = || {
         let key = world.ask(ask(), Instant::ZERO, &mut out);
         world.tick(Instant::ZERO, &mut out);
-        world.handle(Event::HungUp(key), Instant::ZERO, &mut out);
+        world.handle(Event::Disconnected(key), Instant::ZERO, &mut out);
         world.tick(Instant::ZERO, &mut out);
         out.drain();
     };
@@ -162,8 +162,8 @@
     report.add(&name, us, "us", Goal::None);
 }
 
-fn ask() -> Ask {
-    Ask {
+fn ask() -> NewRequest {
+    NewRequest {
         account: "a".to_owned(),
         work: Work::Completion(Completion {
             model: "m".to_owned(),
--- a/reachtally-bench/src/recovery.rs
+++ b/reachtally-bench/src/recovery.rs
@@ -203,7 +203,7 @@
     if fabric.nodes[0].answered[&key].tokens.len() != options.tokens as usize {
         return Err("the request was cut".to_owned());
     }
-    let shift = |change: &Change| matches!(change, Change::StageShifted { .. });
+    let shift = |change: &Change| matches!(change, Change::StageMoved { .. });
     let changes = fabric.nodes[0].changes.iter();
     Ok(changes.filter(|(_, change)| shift(change)).count())
 }
--- a/reachtally-bench/src/scene.rs
+++ b/reachtally-bench/src/scene.rs
@@ -5,7 +5,7 @@
 use bytes::Bytes;
 use reachtally_core::Limits;
 use reachtally_core::declare::{Account, Engine, Layers, Model, Object, Service};
-use reachtally_core::request::{Ask, Completion, ServiceCall, Work};
+use reachtally_core::request::{Completion, NewRequest, ServiceCall, Work};
 use reachtally_standin::engine::{Options, StepTime};
 use reachtally_standin::fabric::{Fabric, FakeEngine, FakeService};
 
@@ -94,8 +94,8 @@
 }
 
 /// A completion with a prompt of `words` words.
-pub fn completion(words: u32, max_tokens: u32) -> Ask {
-    Ask {
+pub fn completion(words: u32, max_tokens: u32) -> NewRequest {
+    NewRequest {
         account: "a".to_owned(),
         work: Work::Completion(Completion {
             model: MODEL.to_owned(),
@@ -108,8 +108,8 @@
 }
 
 /// An order under a key.
-pub fn order(key: &str) -> Ask {
-    Ask {
+pub fn order(key: &str) -> NewRequest {
+    NewRequest {
         account: "a".to_owned(),
         work: Work::Service(ServiceCall {
             service: ORDERS.to_owned(),
--- a/reachtally-core/src/counters.rs
+++ b/reachtally-core/src/counters.rs
@@ -16,7 +16,7 @@
             }
 
             /// Iterate over the descriptions, in the same order.
-            pub fn meanings() -> impl Iterator<Item = &'static str> {
+            pub fn descriptions() -> impl Iterator<Item = &'static str> {
                 [$(concat!($($doc),*),)*].into_iter()
             }
         }
--- a/reachtally-core/src/effect.rs
+++ b/reachtally-core/src/effect.rs
@@ -59,7 +59,7 @@
     /// A suspected target responded again.
     TargetUp(String),
     /// A stage of a running request moved to another engine.
-    StageShifted {
+    StageMoved {
         /// The request.
         request: RequestKey,
         /// The previous engine.
@@ -184,7 +184,7 @@
     /// Append a snapshot of the configuration.
     WriteSnapshot(Box<Config>),
     /// Request a report of a target's state.
-    AskReport {
+    RequestReport {
         /// The target.
         target: TargetKey,
     },
--- a/reachtally-core/src/event.rs
+++ b/reachtally-core/src/event.rs
@@ -9,7 +9,7 @@
 use crate::request::Answer;
 use crate::step::StepResult;
 use crate::systems::gossip::PeerConfig;
-use crate::systems::steward::Reported;
+use crate::systems::steward::TargetReport;
 
 /// The way a call to a target failed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -33,7 +33,7 @@
 
 /// The state of one box in the live list.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct BoxSeen {
+pub struct BoxStatus {
     /// Name of the box.
     pub name: String,
     /// Whether the box is leaving.
@@ -55,14 +55,14 @@
 #[derive(Debug)]
 pub enum Event {
     /// A caller consumed tokens of its stream.
-    Drained {
+    Consumed {
         /// The request.
         request: RequestKey,
         /// Number of tokens consumed since the previous such event.
         tokens: u32,
     },
     /// A caller disconnected.
-    HungUp(RequestKey),
+    Disconnected(RequestKey),
     /// An engine responded to a call.
     StepsDone {
         /// The call.
@@ -87,7 +87,7 @@
         positions: Option<u32>,
     },
     /// A call to a service completed or failed.
-    Called {
+    ServiceCallDone {
         /// The request.
         request: RequestKey,
         /// The instance called.
@@ -115,7 +115,7 @@
     ClaimsGap,
     /// The log was restored from an older copy, so claims that another daemon has already acted on
     /// may be missing.
-    ClaimsReturned,
+    ClaimLogRestored,
     /// Every claim of the claim window has been read.
     ClaimsCaughtUp,
     /// Configuration records were read, in order.
@@ -132,14 +132,14 @@
     /// The revalidation query with this nonce completed, and its result has been applied.
     Revalidated(u64),
     /// A target reported its state to the steward.
-    Reported {
+    TargetReport {
         /// The target.
         target: TargetKey,
         /// The reported state.
-        report: Reported,
+        report: TargetReport,
     },
     /// The live list was read.
-    ListRead(Vec<BoxSeen>),
+    LiveListRead(Vec<BoxStatus>),
     /// Stop admitting requests.
     Stop,
 }
--- a/reachtally-core/src/request.rs
+++ b/reachtally-core/src/request.rs
@@ -14,7 +14,7 @@
 
 /// A request as submitted by the adapter that received it from the caller.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Ask {
+pub struct NewRequest {
     /// Name of the account.
     pub account: String,
     /// The requested work.
--- a/reachtally-core/src/retry.rs
+++ b/reachtally-core/src/retry.rs
@@ -10,19 +10,19 @@
 /// A token bucket that is filled by successes and drained by retries, so that retries cannot
 /// amplify an outage.
 #[derive(Debug, Clone)]
-pub struct Budget {
+pub struct RetryBudget {
     tokens: f64,
 }
 
-impl Default for Budget {
+impl Default for RetryBudget {
     fn default() -> Self {
-        Budget {
+        RetryBudget {
             tokens: INITIAL_TOKENS,
         }
     }
 }
 
-impl Budget {
+impl RetryBudget {
     /// Record a success.
     pub fn succeeded(&mut self) {
         self.tokens = (self.tokens + TOKENS_PER_SUCCESS).min(MAX_TOKENS);
--- a/reachtally-core/src/systems/accept.rs
+++ b/reachtally-core/src/systems/accept.rs
@@ -198,7 +198,7 @@
         // declared.
         return finish::end_unknown(world, request, Unknown::AnswerLost, out);
     }
-    world.kept_bytes += running.replay_buffers[next].push(&activations, end - from);
+    world.replay_buffer_bytes += running.replay_buffers[next].push(&activations, end - from);
     running.awaited = Some(Awaited {
         stage: next,
         from,
@@ -233,7 +233,7 @@
 /// positions covered by its standbys, then all positions; it can still be restored by prefill.
 fn shed_replay_buffers(world: &mut World, request: RequestKey) {
     let limit = world.limits.replay_bytes;
-    if world.kept_bytes <= limit {
+    if world.replay_buffer_bytes <= limit {
         return;
     }
     let Some(running) = world.requests[request].running() else {
@@ -245,14 +245,14 @@
         buffer.drop_below(covered)
     });
     let mut freed: usize = covered.sum();
-    if world.kept_bytes - freed > limit {
+    if world.replay_buffer_bytes - freed > limit {
         let all = running
             .replay_buffers
             .iter_mut()
             .map(ReplayBuffer::drop_all);
         freed += all.sum::<usize>();
     }
-    world.kept_bytes -= freed;
+    world.replay_buffer_bytes -= freed;
 }
 
 fn accept_token(
--- a/reachtally-core/src/systems/admit.rs
+++ b/reachtally-core/src/systems/admit.rs
@@ -7,13 +7,18 @@
 use crate::effect::{Effect, Effects, Finish};
 use crate::ids::{AccountKey, RequestKey};
 use crate::life::{Life, Received, Refusal, State};
-use crate::request::{Ask, Progress, Request, Work};
+use crate::request::{NewRequest, Progress, Request, Work};
 use crate::systems::{claims, gossip, start};
 use crate::time::Instant;
 use crate::world::{Timer, World};
 
 /// Check a new request, then start it, queue it for its claim, or refuse it.
-pub fn submit(world: &mut World, request: Ask, now: Instant, out: &mut Effects) -> RequestKey {
+pub fn submit(
+    world: &mut World,
+    request: NewRequest,
+    now: Instant,
+    out: &mut Effects,
+) -> RequestKey {
     world.counters.requests_received += 1;
     let admission = check_admission(world, &request, now);
     let account = admission.as_ref().copied().unwrap_or_default();
@@ -60,7 +65,11 @@
     });
 }
 
-fn check_admission(world: &World, request: &Ask, now: Instant) -> Result<AccountKey, Refusal> {
+fn check_admission(
+    world: &World,
+    request: &NewRequest,
+    now: Instant,
+) -> Result<AccountKey, Refusal> {
     if world.stopping {
         return Err(Refusal::Stopping);
     }
@@ -101,7 +110,7 @@
 
 /// Return whether the request may be run again when its outcome is unknown. If the service
 /// deduplicates by idempotency key, a call that carries a key is repeatable.
-fn is_repeatable(world: &World, request: &Ask) -> bool {
+fn is_repeatable(world: &World, request: &NewRequest) -> bool {
     let Work::Service(call) = &request.work else {
         return request.idempotency_key.is_none();
     };
--- a/reachtally-core/src/systems/configure.rs
+++ b/reachtally-core/src/systems/configure.rs
@@ -5,7 +5,7 @@
 use crate::chain;
 use crate::declare::{Kind, Object};
 use crate::effect::{Change, Effect, Effects};
-use crate::event::{BoxSeen, Read};
+use crate::event::{BoxStatus, Read};
 use crate::fold::{Config, Operation, Verdict};
 use crate::ids::TargetKey;
 use crate::systems::{failover, gossip};
@@ -76,7 +76,7 @@
 
 /// Apply the live list of boxes. A box missing from the list counts as leaving: it receives no new
 /// work, and requests running there continue until a call fails.
-pub fn list_read(world: &mut World, boxes: &[BoxSeen], now: Instant, out: &mut Effects) {
+pub fn list_read(world: &mut World, boxes: &[BoxStatus], now: Instant, out: &mut Effects) {
     let own = &world.members.me.domain;
     let peers = boxes.iter().filter_map(|seen| seen.peer.as_ref());
     let seeds = peers
--- a/reachtally-core/src/systems/failover.rs
+++ b/reachtally-core/src/systems/failover.rs
@@ -267,12 +267,12 @@
     let first = awaited.stage;
     let position = running.accepted[stage];
     running.awaited = Some(awaited);
-    world.kept_bytes -= freed;
+    world.replay_buffer_bytes -= freed;
     fill_input(world, request, way);
     count_restore(world, way);
     move_request(world, old, target, release);
     let (from, to) = (target_name(world, old), target_name(world, target));
-    out.push(Effect::Changed(Change::StageShifted {
+    out.push(Effect::Changed(Change::StageMoved {
         request,
         from,
         to,
--- a/reachtally-core/src/systems/finish.rs
+++ b/reachtally-core/src/systems/finish.rs
@@ -140,7 +140,7 @@
             None
         }
         Progress::Running(mut running) => {
-            world.kept_bytes -= running
+            world.replay_buffer_bytes -= running
                 .replay_buffers
                 .iter_mut()
                 .map(ReplayBuffer::reset)
--- a/reachtally-core/src/systems/gossip.rs
+++ b/reachtally-core/src/systems/gossip.rs
@@ -18,7 +18,7 @@
 /// through gossip.
 pub const READERS: usize = 3;
 /// Gap between two ticks or events above which the daemon assumes it was paused.
-pub const PAUSED_AFTER: Duration = Duration::from_secs(4);
+pub const PAUSE_THRESHOLD: Duration = Duration::from_secs(4);
 /// How long a daemon that was paused waits for the log or a peer before it continues with its
 /// current configuration.
 pub const REVALIDATE_WAIT: Duration = Duration::from_secs(2);
@@ -117,7 +117,7 @@
 pub fn detect_pause(world: &mut World, now: Instant, out: &mut Effects) {
     let late = now.since(world.last_tick);
     world.last_tick = now;
-    if !world.members.is_gossip_enabled() || late <= PAUSED_AFTER {
+    if !world.members.is_gossip_enabled() || late <= PAUSE_THRESHOLD {
         return;
     }
     world.counters.pauses_noticed += 1;
--- a/reachtally-core/src/systems/steward.rs
+++ b/reachtally-core/src/systems/steward.rs
@@ -29,7 +29,7 @@
 const RANK_WAIT: Duration = Duration::from_secs(2);
 /// Time a target must report itself idle after the whole domain has confirmed its drain. Longer
 /// than a step chosen before the drain can be in flight.
-pub const STOP_QUIET: Duration = Duration::from_secs(3);
+pub const STOP_IDLE_TIME: Duration = Duration::from_secs(3);
 
 /// An order to a target.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -44,7 +44,7 @@
 
 /// State reported by a target.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
-pub struct Reported {
+pub struct TargetReport {
     /// Adapters and model versions that are loaded.
     pub loaded: BTreeSet<String>,
     /// Number of requests whose KV the target holds.
@@ -64,7 +64,7 @@
     confirm(world, now, out);
     for target in least_recently_polled(world) {
         world.targets[target].polled_at = Some(now);
-        out.push(Effect::AskReport { target });
+        out.push(Effect::RequestReport { target });
     }
 }
 
@@ -173,7 +173,7 @@
 pub fn reported(
     world: &mut World,
     key: TargetKey,
-    report: &Reported,
+    report: &TargetReport,
     now: Instant,
     out: &mut Effects,
 ) {
@@ -205,7 +205,12 @@
 }
 
 /// Return the next order that brings a target closer to its declared state.
-fn next_order(world: &mut World, key: TargetKey, report: &Reported, now: Instant) -> Option<Order> {
+fn next_order(
+    world: &mut World,
+    key: TargetKey,
+    report: &TargetReport,
+    now: Instant,
+) -> Option<Order> {
     let target = world.targets.get(key)?;
     let (model, _, _) = target.engine()?;
     let entry = world.config.get(Kind::Engine, &target.name)?;
@@ -231,12 +236,12 @@
 }
 
 /// Stop a target once every live box of the domain serves its drain and the target has since
-/// reported itself idle for [`STOP_QUIET`].
+/// reported itself idle for [`STOP_IDLE_TIME`].
 fn stop_if_idle(
     world: &mut World,
     key: TargetKey,
     revision: u64,
-    report: &Reported,
+    report: &TargetReport,
     now: Instant,
 ) -> Option<Order> {
     let confirmed = world.members.min_config_offset(now) >= revision;
@@ -246,5 +251,5 @@
         return None;
     }
     let since = *target.idle_since.get_or_insert(now);
-    (now.since(since) >= STOP_QUIET).then_some(Order::Stop)
+    (now.since(since) >= STOP_IDLE_TIME).then_some(Order::Stop)
 }
--- a/reachtally-core/src/world.rs
+++ b/reachtally-core/src/world.rs
@@ -17,8 +17,8 @@
 use crate::ids::{AccountKey, CallKey, Incarnation, RequestKey, TargetKey};
 use crate::lease::{Domains, LocalLease};
 use crate::member::{MemberState, Members};
-use crate::request::{Ask, Progress, Request, Running};
-use crate::retry::Budget;
+use crate::request::{NewRequest, Progress, Request, Running};
+use crate::retry::RetryBudget;
 use crate::systems;
 use crate::target::{Health, Target};
 use crate::time::Instant;
@@ -205,8 +205,8 @@
     pub(crate) dirty: Vec<TargetKey>,
     pub(crate) parked: Vec<RequestKey>,
     pub(crate) standby_due: Vec<RequestKey>,
-    pub(crate) kept_bytes: usize,
-    pub(crate) budget: Budget,
+    pub(crate) replay_buffer_bytes: usize,
+    pub(crate) budget: RetryBudget,
     pub(crate) stopping: bool,
     pub(crate) rng: ChaCha8Rng,
     timers: BinaryHeap<Reverse<(Instant, Timer)>>,
@@ -245,8 +245,8 @@
             dirty: Vec::new(),
             parked: Vec::new(),
             standby_due: Vec::new(),
-            kept_bytes: 0,
-            budget: Budget::default(),
+            replay_buffer_bytes: 0,
+            budget: RetryBudget::default(),
             stopping: false,
             rng: ChaCha8Rng::seed_from_u64(seed),
             timers: BinaryHeap::new(),
@@ -255,7 +255,7 @@
 
     /// Submit a new request. The returned key identifies the request in all effects, including a
     /// refusal already pushed to `out`.
-    pub fn ask(&mut self, request: Ask, now: Instant, out: &mut Effects) -> RequestKey {
+    pub fn ask(&mut self, request: NewRequest, now: Instant, out: &mut Effects) -> RequestKey {
         systems::gossip::detect_pause(self, now, out);
         systems::admit::submit(self, request, now, out)
     }
@@ -264,15 +264,15 @@
     pub fn handle(&mut self, event: Event, now: Instant, out: &mut Effects) {
         systems::gossip::detect_pause(self, now, out);
         match event {
-            Event::Drained { request, tokens } => systems::deliver::resume(self, request, tokens),
-            Event::HungUp(request) => systems::finish::disconnected(self, request, out),
+            Event::Consumed { request, tokens } => systems::deliver::resume(self, request, tokens),
+            Event::Disconnected(request) => systems::finish::disconnected(self, request, out),
             Event::StepsDone { call, results } => {
                 systems::accept::steps_done(self, call, results, now, out);
             }
             Event::StepsFailed { call, failure } => {
                 systems::failover::call_failed(self, call, failure, now, out);
             }
-            Event::Called {
+            Event::ServiceCallDone {
                 request,
                 target,
                 result,
@@ -286,7 +286,7 @@
             Event::Appended { seq, confirmed } => systems::claims::appended(self, seq, confirmed),
             Event::ClaimsRead(records) => systems::claims::read(self, &records, now, out),
             Event::ClaimsGap => self.claims_ready = false,
-            Event::ClaimsReturned => systems::claims::log_restored(self, out),
+            Event::ClaimLogRestored => systems::claims::log_restored(self, out),
             Event::ClaimsCaughtUp => self.claims_ready = true,
             Event::ConfigRead(records) => systems::configure::read(self, &records, now, out),
             Event::Revalidated(nonce) => systems::gossip::revalidated(self, nonce),
@@ -294,10 +294,10 @@
             Event::DomainAppended => systems::steward::appended(self),
             Event::Digest(members) => systems::gossip::digest(self, members, now, out),
             Event::PeerConfig(config) => systems::gossip::peer_config(self, config, now, out),
-            Event::Reported { target, report } => {
+            Event::TargetReport { target, report } => {
                 systems::steward::reported(self, target, &report, now, out);
             }
-            Event::ListRead(boxes) => systems::configure::list_read(self, &boxes, now, out),
+            Event::LiveListRead(boxes) => systems::configure::list_read(self, &boxes, now, out),
             Event::Stop => self.stopping = true,
         }
     }
@@ -368,8 +368,8 @@
     }
 
     /// Number of bytes of stage inputs retained for replay.
-    pub fn kept_bytes(&self) -> usize {
-        self.kept_bytes
+    pub fn replay_buffer_bytes(&self) -> usize {
+        self.replay_buffer_bytes
     }
 
     /// Number of keys known from the claim stream.
@@ -427,7 +427,7 @@
     }
 
     /// Number of running or waiting requests of the account `name`.
-    pub fn running_of(&self, name: &str) -> u32 {
+    pub fn running_requests(&self, name: &str) -> u32 {
         let key = self.account_by_name.get(name);
         key.map_or(0, |key| self.accounts[*key].running)
     }
--- a/reachtally-core/tests/core/claims.rs
+++ b/reachtally-core/tests/core/claims.rs
@@ -9,7 +9,7 @@
 
 use crate::setup::*;
 
-fn order(key: &str) -> reachtally_core::request::Ask {
+fn order(key: &str) -> reachtally_core::request::NewRequest {
     call(ORDERS, Some(key), "ten pallets")
 }
 
@@ -263,7 +263,7 @@
     order_time(&mut fabric, SECOND);
     let first = fabric.ask(0, order("k"));
     fabric.run_for(SECOND / 2);
-    fabric.handle(0, reachtally_core::Event::HungUp(first));
+    fabric.handle(0, reachtally_core::Event::Disconnected(first));
     fabric.run_for(2 * SECOND);
     let retry = fabric.ask(1, order("k"));
     fabric.run_for(10 * SECOND);
--- a/reachtally-core/tests/core/domains.rs
+++ b/reachtally-core/tests/core/domains.rs
@@ -7,8 +7,8 @@
 use reachtally_core::lease::{DomainRecord, Domains, LEASE, LEASE_MARGIN};
 use reachtally_core::life::Refusal;
 use reachtally_core::member::MEMBER_TIMEOUT;
-use reachtally_core::systems::gossip::PAUSED_AFTER;
-use reachtally_core::systems::steward::{Order, STOP_QUIET};
+use reachtally_core::systems::gossip::PAUSE_THRESHOLD;
+use reachtally_core::systems::steward::{Order, STOP_IDLE_TIME};
 use reachtally_core::{Incarnation, Limits};
 use reachtally_standin::fabric::{End, Fabric};
 
@@ -336,7 +336,7 @@
     let ended_at = fabric.nodes[daemon].answered[&key]
         .ended_at
         .expect("it ended");
-    assert!(fabric.now.since(ended_at) >= STOP_QUIET);
+    assert!(fabric.now.since(ended_at) >= STOP_IDLE_TIME);
 }
 
 #[test]
@@ -359,7 +359,7 @@
 #[test]
 fn a_daemon_that_was_paused_admits_nothing_until_it_has_compared_its_configuration() {
     let mut fabric = joined();
-    let wake = fabric.now + PAUSED_AFTER + 10 * SECOND;
+    let wake = fabric.now + PAUSE_THRESHOLD + 10 * SECOND;
     fabric.pause(0, wake);
     fabric.run_for(5 * SECOND);
     // What was sent to it before the cut reaches it when it wakes, and proves nothing.
@@ -395,7 +395,7 @@
 #[test]
 fn a_daemon_that_was_paused_serves_by_the_new_configuration_at_once() {
     let mut fabric = joined();
-    let wake = fabric.now + PAUSED_AFTER + 10 * SECOND;
+    let wake = fabric.now + PAUSE_THRESHOLD + 10 * SECOND;
     fabric.pause(0, wake);
     fabric.run_for(SECOND);
     fabric.drain(Kind::Engine, "e00", true);
--- a/reachtally-core/tests/core/setup.rs
+++ b/reachtally-core/tests/core/setup.rs
@@ -7,7 +7,7 @@
 use reachtally_core::declare::{Account, Engine, Layers, Model, Object, Service};
 use reachtally_core::effect::Change;
 use reachtally_core::ids::{RequestId, RequestKey};
-use reachtally_core::request::{Ask, Completion, ServiceCall, Work};
+use reachtally_core::request::{Completion, NewRequest, ServiceCall, Work};
 use reachtally_core::{Limits, World};
 use reachtally_standin::engine::{Ledger, Options, StepTime, model};
 use reachtally_standin::fabric::{Behaviour, End, Fabric, FakeEngine, FakeService};
@@ -107,8 +107,8 @@
     }
 }
 
-pub fn completion(max_tokens: u32) -> Ask {
-    Ask {
+pub fn completion(max_tokens: u32) -> NewRequest {
+    NewRequest {
         account: "a".to_owned(),
         work: Work::Completion(Completion {
             model: MODEL.to_owned(),
@@ -120,8 +120,8 @@
     }
 }
 
-pub fn call(service: &str, key: Option<&str>, body: &str) -> Ask {
-    Ask {
+pub fn call(service: &str, key: Option<&str>, body: &str) -> NewRequest {
+    NewRequest {
         account: "a".to_owned(),
         work: Work::Service(ServiceCall {
             service: service.to_owned(),
@@ -154,7 +154,7 @@
 
 pub fn shifts(fabric: &Fabric) -> usize {
     let changes = fabric.nodes[0].changes.iter();
-    let shift = |(_, change): &&(_, Change)| matches!(change, Change::StageShifted { .. });
+    let shift = |(_, change): &&(_, Change)| matches!(change, Change::StageMoved { .. });
     changes.filter(shift).count()
 }
 
--- a/reachtally-core/tests/core/stages.rs
+++ b/reachtally-core/tests/core/stages.rs
@@ -71,7 +71,7 @@
     fabric.run_for(5 * SECOND);
     assert_whole(&fabric, key, TOKENS);
     assert_eq!(world(&fabric).counters.restored_by_prefill, 1);
-    assert_eq!(world(&fabric).kept_bytes(), 0);
+    assert_eq!(world(&fabric).replay_buffer_bytes(), 0);
 }
 
 #[test]
@@ -248,7 +248,7 @@
     let mut fabric = fabric(1);
     let key = fabric.ask(0, completion(TOKENS));
     fabric.run_for(HALF_WAY);
-    fabric.handle(0, Event::HungUp(key));
+    fabric.handle(0, Event::Disconnected(key));
     fabric.run_for(SECOND);
     assert_eq!(end(&fabric, 0, key), Some(&End::Abandoned));
     let held = fabric
@@ -257,7 +257,7 @@
         .map(|engine| engine.state.requests_held());
     assert_eq!(held.sum::<usize>(), 0);
     assert!(world(&fabric).is_idle());
-    assert_eq!(world(&fabric).kept_bytes(), 0);
+    assert_eq!(world(&fabric).replay_buffer_bytes(), 0);
 }
 
 #[test]
@@ -278,7 +278,7 @@
     assert_eq!(fabric.nodes[0].answered[&slow].tokens.len(), 4);
     fabric.handle(
         0,
-        Event::Drained {
+        Event::Consumed {
             request: slow,
             tokens: 4,
         },
@@ -398,13 +398,16 @@
     let mut fabric = fabric_with(1, &limits);
     let key = fabric.ask(0, completion(LONG));
     fabric.run_for(Duration::from_millis(2200));
-    assert!(world(&fabric).kept_bytes() > 0, "everything was dropped");
-    assert!(world(&fabric).kept_bytes() <= limits.replay_bytes);
+    assert!(
+        world(&fabric).replay_buffer_bytes() > 0,
+        "everything was dropped"
+    );
+    assert!(world(&fabric).replay_buffer_bytes() <= limits.replay_bytes);
     let serving = world(&fabric).serving(key, 1).expect("it runs").to_owned();
     let url = format!("http://{serving}");
     kill(&mut fabric, &url);
     fabric.run_for(10 * SECOND);
     assert_whole(&fabric, key, LONG);
     assert_eq!(world(&fabric).counters.restored_from_standby, 1);
-    assert_eq!(world(&fabric).kept_bytes(), 0);
+    assert_eq!(world(&fabric).replay_buffer_bytes(), 0);
 }
--- a/reachtally-core/tests/core/timing.rs
+++ b/reachtally-core/tests/core/timing.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use reachtally_core::latency::Latency;
-use reachtally_core::retry::Budget;
+use reachtally_core::retry::RetryBudget;
 
 #[test]
 fn the_time_out_follows_the_step_time_and_tolerates_half_speed() {
@@ -32,7 +32,7 @@
 
 #[test]
 fn the_budget_allows_a_tenth_of_the_successes() {
-    let mut budget = Budget::default();
+    let mut budget = RetryBudget::default();
     while budget.take() {}
     for _ in 0..100 {
         budget.succeeded();
--- a/reachtally-daemon/src/actor.rs
+++ b/reachtally-daemon/src/actor.rs
@@ -8,7 +8,7 @@
 use reachtally_core::counters::Counters;
 use reachtally_core::effect::{Change, Finish};
 use reachtally_core::ids::{RequestId, RequestKey};
-use reachtally_core::request::Ask;
+use reachtally_core::request::NewRequest;
 use reachtally_core::systems::gossip::PeerConfig;
 use reachtally_core::{Effect, Effects, Event, Instant, World};
 use reachtally_protocol::Message as Wire;
@@ -49,9 +49,9 @@
 #[derive(Debug)]
 pub enum Message {
     /// A caller asks.
-    Ask {
+    NewRequest {
         /// What for.
-        ask: Ask,
+        ask: NewRequest,
         /// Takes the answer's parts.
         pieces: mpsc::UnboundedSender<Piece>,
         /// Told the row.
@@ -191,7 +191,7 @@
     fn take(&mut self, message: Message) {
         let now = self.now();
         match message {
-            Message::Ask { ask, pieces, taken } => {
+            Message::NewRequest { ask, pieces, taken } => {
                 let key = self.world.ask(ask, now, &mut self.effects);
                 let id = RequestId::new(self.world.incarnation, key);
                 self.callers.insert(key, pieces);
@@ -308,7 +308,7 @@
             }
             Effect::AppendDomain(record) => self.performer.append_domain(&record),
             Effect::WriteSnapshot(config) => self.performer.write_snapshot(&config),
-            Effect::AskReport { target } => {
+            Effect::RequestReport { target } => {
                 let url = self.url(target);
                 self.performer.ask_report(target, url);
             }
@@ -370,7 +370,7 @@
     match change {
         Change::TargetSuspect(name) => warn!(target_name = name.as_str(); "target suspected"),
         Change::TargetUp(name) => info!(target_name = name.as_str(); "target answers again"),
-        Change::StageShifted {
+        Change::StageMoved {
             from,
             to,
             way,
--- a/reachtally-daemon/src/caller/completions.rs
+++ b/reachtally-daemon/src/caller/completions.rs
@@ -6,7 +6,7 @@
 use futures::stream::{self, Stream};
 use reachtally_core::effect::{Completed, CompletionEnd, Finish};
 use reachtally_core::life::Unknown;
-use reachtally_core::request::{Answer, Ask, Work};
+use reachtally_core::request::{Answer, NewRequest, Work};
 use rocket::data::Data;
 use rocket::http::{ContentType, Header};
 use rocket::request::{FromRequest, Outcome as Guarded, Request};
@@ -86,7 +86,7 @@
 ) -> Result<CompletionAnswer, Failure> {
     let bytes = body::read(data, shared.body_bytes).await?;
     let body = body::check(&bytes, form).map_err(Failure::bad_body)?;
-    let ask = Ask {
+    let ask = NewRequest {
         account: caller.account.name,
         work: Work::Completion(body.completion.clone()),
         idempotency_key: key.checked()?,
--- a/reachtally-daemon/src/caller/services.rs
+++ b/reachtally-daemon/src/caller/services.rs
@@ -1,7 +1,7 @@
 //! `/services/<name>/<path>`: calls passed on to plain services.
 
 use reachtally_core::effect::{Completed, Finish};
-use reachtally_core::request::{Ask, ServiceCall, Work};
+use reachtally_core::request::{NewRequest, ServiceCall, Work};
 use rocket::data::Data;
 use rocket::http::Method;
 use rocket::request::Request;
@@ -63,7 +63,7 @@
         content_type: req.content_type().map(ToString::to_string),
         body: body::read(data, shared.body_bytes).await?.into(),
     };
-    let ask = Ask {
+    let ask = NewRequest {
         account: caller.account.name,
         work: Work::Service(call),
         idempotency_key: key,
--- a/reachtally-daemon/src/caller/stream.rs
+++ b/reachtally-daemon/src/caller/stream.rs
@@ -2,7 +2,7 @@
 
 use reachtally_core::Event;
 use reachtally_core::effect::Finish;
-use reachtally_core::request::Ask;
+use reachtally_core::request::NewRequest;
 use tokio::sync::{mpsc, oneshot};
 
 use crate::actor::{Handle, Message, Piece, Taken};
@@ -27,11 +27,11 @@
 ///
 /// # Errors
 /// A failure if the actor is gone.
-pub async fn ask(shared: &Shared, ask: Ask) -> Result<Pieces, Failure> {
+pub async fn ask(shared: &Shared, ask: NewRequest) -> Result<Pieces, Failure> {
     let open = shared.open.enter();
     let (pieces, rx) = mpsc::unbounded_channel();
     let (taken_tx, taken_rx) = oneshot::channel();
-    let message = Message::Ask {
+    let message = Message::NewRequest {
         ask,
         pieces,
         taken: taken_tx,
@@ -100,7 +100,7 @@
 
     fn report(&mut self) {
         let tokens = std::mem::take(&mut self.unreported);
-        let event = Event::Drained {
+        let event = Event::Consumed {
             request: self.taken.key,
             tokens,
         };
@@ -112,7 +112,7 @@
 impl Drop for Pieces {
     fn drop(&mut self) {
         if !self.ended {
-            let event = Event::HungUp(self.taken.key);
+            let event = Event::Disconnected(self.taken.key);
             self.handle.send(Message::Event(event)).ok();
         }
     }
--- a/reachtally-daemon/src/follow.rs
+++ b/reachtally-daemon/src/follow.rs
@@ -232,7 +232,7 @@
         if page.returns > coverage.returns {
             warn!(returns = page.returns, held = coverage.returns; "the log came back from an older copy; its claims are read anew");
             whole = false;
-            tell(&handle, Event::ClaimsReturned);
+            tell(&handle, Event::ClaimLogRestored);
             coverage = Coverage {
                 returns: page.returns,
                 ..Coverage::default()
@@ -309,7 +309,7 @@
         let boxes = list.boxes().await;
         seen.saw(boxes.is_ok());
         if let Ok(boxes) = boxes
-            && !tell(&handle, Event::ListRead(boxes))
+            && !tell(&handle, Event::LiveListRead(boxes))
         {
             return;
         }
--- a/reachtally-daemon/src/operator/tables.rs
+++ b/reachtally-daemon/src/operator/tables.rs
@@ -128,7 +128,7 @@
         if let Object::Account(account) = &entry.object {
             table.push(vec![
                 name.to_owned(),
-                world.running_of(name).to_string(),
+                world.running_requests(name).to_string(),
                 account.max_running.to_string(),
                 dash(&account.models.join(",")),
                 dash(&account.services.join(",")),
--- a/reachtally-daemon/src/perform.rs
+++ b/reachtally-daemon/src/perform.rs
@@ -90,7 +90,7 @@
         tokio::spawn(async move {
             let result = timeout(patience, targets.call(&url, call, key)).await;
             let result = result.unwrap_or(Err(CallFailure::Lost));
-            let event = Event::Called {
+            let event = Event::ServiceCallDone {
                 request,
                 target,
                 result,
@@ -192,7 +192,7 @@
         let (handle, targets) = (self.handle.clone(), self.targets.clone());
         tokio::spawn(async move {
             if let Some(reported) = targets.report(&url).await {
-                let event = Event::Reported {
+                let event = Event::TargetReport {
                     target,
                     report: reported,
                 };
--- a/reachtally-daemon/tests/daemon/follow.rs
+++ b/reachtally-daemon/tests/daemon/follow.rs
@@ -41,7 +41,7 @@
     while let Ok(message) = rx.try_recv() {
         match message {
             Message::Event(Event::ClaimsCaughtUp) => word = Some(true),
-            Message::Event(Event::ClaimsGap | Event::ClaimsReturned) => word = Some(false),
+            Message::Event(Event::ClaimsGap | Event::ClaimLogRestored) => word = Some(false),
             _ => {}
         }
     }
--- a/reachtally-log/src/http.rs
+++ b/reachtally-log/src/http.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use reachtally_core::event::{BoxSeen, Peer};
+use reachtally_core::event::{BoxStatus, Peer};
 use reqwest::{Client, StatusCode};
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
@@ -103,7 +103,7 @@
 }
 
 impl LiveList for HttpPlatform {
-    async fn boxes(&self) -> Result<Vec<BoxSeen>, Unavailable> {
+    async fn boxes(&self) -> Result<Vec<BoxStatus>, Unavailable> {
         let url = format!("{}/boxes", self.list_url);
         let response = self.client.get(url).timeout(TIMEOUT).send().await;
         let response = response.map_err(|_| Unavailable)?;
@@ -115,8 +115,8 @@
     }
 }
 
-fn seen(listed: ListedBox) -> BoxSeen {
-    BoxSeen {
+fn seen(listed: ListedBox) -> BoxStatus {
+    BoxStatus {
         name: listed.name,
         leaving: listed.leaving,
         peer: listed.peer.map(|peer| Peer {
--- a/reachtally-log/src/lib.rs
+++ b/reachtally-log/src/lib.rs
@@ -7,7 +7,7 @@
 
 use std::future::Future;
 
-use reachtally_core::event::BoxSeen;
+use reachtally_core::event::BoxStatus;
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
 
@@ -83,5 +83,5 @@
 /// The live list.
 pub trait LiveList {
     /// The boxes it shows; it lags.
-    fn boxes(&self) -> impl Future<Output = Result<Vec<BoxSeen>, Unavailable>> + Send;
+    fn boxes(&self) -> impl Future<Output = Result<Vec<BoxStatus>, Unavailable>> + Send;
 }
--- a/reachtally-relay/src/metrics.rs
+++ b/reachtally-relay/src/metrics.rs
@@ -93,7 +93,7 @@
 
 impl Collector for Snapshot {
     fn encode(&self, mut encoder: DescriptorEncoder<'_>) -> Result<(), std::fmt::Error> {
-        for ((name, value), meaning) in self.0.each().zip(Tally::meanings()) {
+        for ((name, value), meaning) in self.0.each().zip(Tally::descriptions()) {
             let counter = ConstCounter::new(value);
             let meaning = meaning.trim().trim_end_matches('.');
             let metric = encoder.encode_descriptor(name, meaning, None, counter.metric_type())?;
--- a/reachtally-spec/src/claims.rs
+++ b/reachtally-spec/src/claims.rs
@@ -11,7 +11,7 @@
 use reachtally_core::effect::{Effects, Finish};
 use reachtally_core::event::{CallFailure, Read};
 use reachtally_core::ids::{RequestKey, TargetKey};
-use reachtally_core::request::{Answer, Ask, ServiceCall, Work};
+use reachtally_core::request::{Answer, NewRequest, ServiceCall, Work};
 use reachtally_core::{Effect, Event, Incarnation, Instant, Limits, World};
 
 use crate::Model;
@@ -54,7 +54,7 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Action {
     /// A caller asks a box.
-    Ask(usize),
+    NewRequest(usize),
     /// A message arrives.
     Deliver(usize),
     /// A message is lost; the box learns that no answer came.
@@ -95,7 +95,7 @@
         request: RequestKey,
         target: TargetKey,
     },
-    Called {
+    ServiceCallDone {
         at: usize,
         by: Incarnation,
         request: RequestKey,
@@ -177,7 +177,7 @@
     fn learn_of_return(&mut self, at: usize) {
         self.boxes[at].returns = self.returns;
         self.boxes[at].read = 0;
-        self.tell(at, self.incarnation(at), Event::ClaimsReturned);
+        self.tell(at, self.incarnation(at), Event::ClaimLogRestored);
     }
 
     fn incarnation(&self, at: usize) -> Incarnation {
@@ -256,14 +256,14 @@
                 target,
             } => {
                 self.runs.push((by, request));
-                self.net.push(Message::Called {
+                self.net.push(Message::ServiceCallDone {
                     at,
                     by,
                     request,
                     target,
                 });
             }
-            Message::Called {
+            Message::ServiceCallDone {
                 at,
                 by,
                 request,
@@ -284,7 +284,7 @@
                 request,
                 target,
             }
-            | Message::Called {
+            | Message::ServiceCallDone {
                 at,
                 by,
                 request,
@@ -346,7 +346,7 @@
         let mut actions = Vec::new();
         for at in 0..BOXES {
             if self.boxes[at].asks > 0 {
-                actions.push(Action::Ask(at));
+                actions.push(Action::NewRequest(at));
             }
             let is_behind = self.boxes[at].returns < self.returns
                 && self.broken != Some(Broken::ReturnUnnoticed);
@@ -381,7 +381,7 @@
 
     fn apply(&mut self, action: &Action) {
         match *action {
-            Action::Ask(at) => self.ask(at),
+            Action::NewRequest(at) => self.ask(at),
             Action::Deliver(number) => {
                 let message = self.net.remove(number);
                 self.deliver(message);
@@ -453,7 +453,7 @@
 }
 
 fn called(request: RequestKey, target: TargetKey, result: Result<Answer, CallFailure>) -> Event {
-    Event::Called {
+    Event::ServiceCallDone {
         request,
         target,
         result,
@@ -468,8 +468,8 @@
     }
 }
 
-fn order() -> Ask {
-    Ask {
+fn order() -> NewRequest {
+    NewRequest {
         account: ACCOUNT.to_owned(),
         work: Work::Service(ServiceCall {
             service: "s".to_owned(),
--- a/reachtally-spec/src/lineage.rs
+++ b/reachtally-spec/src/lineage.rs
@@ -11,7 +11,7 @@
 use reachtally_core::event::CallFailure;
 use reachtally_core::ids::{CallKey, RequestId, RequestKey, TargetKey};
 use reachtally_core::life::NeverStarted;
-use reachtally_core::request::{Ask, Completion, Work};
+use reachtally_core::request::{Completion, NewRequest, Work};
 use reachtally_core::step::{Batch, StepResult};
 use reachtally_core::{Effect, Event, Incarnation, Instant, Limits, World};
 use reachtally_standin::engine::{Ledger, Options, State, model};
@@ -343,8 +343,8 @@
     }
 }
 
-fn ask() -> Ask {
-    Ask {
+fn ask() -> NewRequest {
+    NewRequest {
         account: ACCOUNT.to_owned(),
         work: Work::Completion(Completion {
             model: "m".to_owned(),
--- a/reachtally-standin/src/fabric/domains.rs
+++ b/reachtally-standin/src/fabric/domains.rs
@@ -1,7 +1,7 @@
 //! What passes between daemons, and between stewards and engines.
 
 use reachtally_core::Event;
-use reachtally_core::event::{BoxSeen, Peer};
+use reachtally_core::event::{BoxStatus, Peer};
 use reachtally_core::ids::{RequestId, RequestKey, TargetKey};
 use reachtally_core::member::MemberState;
 use reachtally_core::systems::steward::Order;
@@ -32,7 +32,7 @@
             .domains
             .iter()
             .enumerate()
-            .map(|(daemon, domain)| BoxSeen {
+            .map(|(daemon, domain)| BoxStatus {
                 name: format!("b{daemon}"),
                 leaving: false,
                 peer: Some(Peer {
@@ -40,13 +40,13 @@
                     address: daemon.to_string(),
                 }),
             });
-        let engines = self.log.engine_boxes().map(|name| BoxSeen {
+        let engines = self.log.engine_boxes().map(|name| BoxStatus {
             name,
             leaving: false,
             peer: None,
         });
-        let seen: Vec<BoxSeen> = peers.chain(engines).collect();
-        self.handle(daemon, Event::ListRead(seen));
+        let seen: Vec<BoxStatus> = peers.chain(engines).collect();
+        self.handle(daemon, Event::LiveListRead(seen));
     }
 
     /// The daemon at an address, unless the two are cut off from each other.
@@ -116,7 +116,7 @@
             return;
         };
         let report = engine.state.report().into();
-        self.tell(daemon, LINK * 2, Event::Reported { target, report });
+        self.tell(daemon, LINK * 2, Event::TargetReport { target, report });
     }
 
     pub(super) fn order(&mut self, daemon: usize, target: TargetKey, fence: u64, order: Order) {
--- a/reachtally-standin/src/fabric/mod.rs
+++ b/reachtally-standin/src/fabric/mod.rs
@@ -15,11 +15,11 @@
 use std::time::Duration;
 
 use reachtally_core::declare::{Kind, Object};
-use reachtally_core::event::{BoxSeen, CallFailure};
+use reachtally_core::event::{BoxStatus, CallFailure};
 use reachtally_core::fold::{Config, Edit, EditChange, Operation};
 use reachtally_core::ids::{CallKey, RequestKey, TargetKey};
 use reachtally_core::life::NeverStarted;
-use reachtally_core::request::{Ask, ServiceCall};
+use reachtally_core::request::{NewRequest, ServiceCall};
 use reachtally_core::step::Batch;
 use reachtally_core::systems::gossip::PeerConfig;
 use reachtally_core::systems::steward::Order;
@@ -115,19 +115,19 @@
 
     /// Show this live list to every daemon.
     pub fn show_list(&mut self, boxes: &[(&str, bool)]) {
-        let seen = boxes.iter().map(|(name, leaving)| BoxSeen {
+        let seen = boxes.iter().map(|(name, leaving)| BoxStatus {
             name: (*name).to_owned(),
             leaving: *leaving,
             peer: None,
         });
-        let seen: Vec<BoxSeen> = seen.collect();
+        let seen: Vec<BoxStatus> = seen.collect();
         for daemon in 0..self.nodes.len() {
-            self.handle(daemon, Event::ListRead(seen.clone()));
+            self.handle(daemon, Event::LiveListRead(seen.clone()));
         }
     }
 
     /// A caller asks a daemon.
-    pub fn ask(&mut self, daemon: usize, ask: Ask) -> RequestKey {
+    pub fn ask(&mut self, daemon: usize, ask: NewRequest) -> RequestKey {
         let key = self.nodes[daemon].ask(ask, self.now);
         self.settle(daemon);
         key
@@ -303,7 +303,7 @@
                 self.queue.push(self.now + LINK + delay, Happening::Spread);
             }
             Effect::WriteSnapshot(config) => self.log.snapshots.push(*config),
-            Effect::AskReport { target } => self.ask_report(daemon, target),
+            Effect::RequestReport { target } => self.ask_report(daemon, target),
             Effect::Order {
                 target,
                 fence,
@@ -384,7 +384,7 @@
             return;
         };
         let (after, result) = service.call(key.as_deref(), &call);
-        let event = Event::Called {
+        let event = Event::ServiceCallDone {
             request,
             target,
             result,
--- a/reachtally-standin/src/fabric/node.rs
+++ b/reachtally-standin/src/fabric/node.rs
@@ -6,7 +6,7 @@
 use reachtally_core::ids::{RequestKey, TargetKey};
 use reachtally_core::life::{Refusal, Unknown};
 use reachtally_core::lineage::Lineage;
-use reachtally_core::request::Ask;
+use reachtally_core::request::NewRequest;
 use reachtally_core::{Effect, Event, Incarnation, Instant, Limits, World};
 
 use super::log::Offsets;
@@ -83,7 +83,7 @@
         }
     }
 
-    pub(super) fn ask(&mut self, ask: Ask, now: Instant) -> RequestKey {
+    pub(super) fn ask(&mut self, ask: NewRequest, now: Instant) -> RequestKey {
         let key = self.world.ask(ask, now, &mut self.effects);
         self.answered.insert(key, Answered::default());
         key
@@ -144,7 +144,7 @@
         answered.tokens.push(text);
         answered.times.push(now);
         if self.callers_take {
-            let event = Event::Drained { request, tokens: 1 };
+            let event = Event::Consumed { request, tokens: 1 };
             self.world.handle(event, now, &mut self.effects);
         }
     }
--- a/reachtally-target/src/http.rs
+++ b/reachtally-target/src/http.rs
@@ -18,7 +18,7 @@
 use reachtally_core::life::NeverStarted;
 use reachtally_core::request::{Answer, ServiceCall};
 use reachtally_core::step::{Batch, StepResult};
-use reachtally_core::systems::steward::{Order, Reported};
+use reachtally_core::systems::steward::{Order, TargetReport};
 use reqwest::header::{CONTENT_TYPE, HeaderMap};
 use reqwest::{Client, Method, Response};
 
@@ -156,7 +156,7 @@
 }
 
 impl Orders for HttpTargets {
-    async fn report(&self, url: &str) -> Option<Reported> {
+    async fn report(&self, url: &str) -> Option<TargetReport> {
         let req = self.client.get(format!("{url}/{REPORT_PATH}"));
         let response = req.timeout(PROBE_TIMEOUT).send().await.ok()?;
         let body: ReportBody = response.json().await.ok()?;
--- a/reachtally-target/src/lib.rs
+++ b/reachtally-target/src/lib.rs
@@ -11,7 +11,7 @@
 use reachtally_core::ids::RequestId;
 use reachtally_core::request::{Answer, ServiceCall};
 use reachtally_core::step::{Batch, StepResult};
-use reachtally_core::systems::steward::{Order, Reported};
+use reachtally_core::systems::steward::{Order, TargetReport};
 
 pub mod http;
 pub mod order;
@@ -66,7 +66,7 @@
 /// Engines that take orders.
 pub trait Orders {
     /// What the engine at `url` holds, if it answers.
-    fn report(&self, url: &str) -> impl Future<Output = Option<Reported>> + Send;
+    fn report(&self, url: &str) -> impl Future<Output = Option<TargetReport>> + Send;
 
     /// Give the engine at `url` an order; `false` if it did not take it.
     fn order(&self, url: &str, fence: u64, order: Order) -> impl Future<Output = bool> + Send;
--- a/reachtally-target/src/order.rs
+++ b/reachtally-target/src/order.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeSet;
 
-use reachtally_core::systems::steward::{Order, Reported};
+use reachtally_core::systems::steward::{Order, TargetReport};
 use serde::{Deserialize, Serialize};
 
 /// An order to an engine.
@@ -45,9 +45,9 @@
     pub requests: u64,
 }
 
-impl From<ReportBody> for Reported {
+impl From<ReportBody> for TargetReport {
     fn from(body: ReportBody) -> Self {
-        Reported {
+        TargetReport {
             loaded: body.loaded,
             requests: body.requests,
         }
