--- a/reachtally-journal/src/crowding.rs
+++ b/reachtally-journal/src/crowding.rs
@@ -1,4 +1,5 @@
-//! Which engines more requests came to than they had room for, and what was believed of them.
+//! Reports engines that received more requests than they had capacity for, with the load that the routers
+//! estimated for them.
 
 use std::collections::BTreeMap;
 use std::fmt::{self, Formatter};
@@ -6,57 +7,58 @@
 use crate::line::Line;
 use crate::ranking::{ranked, total};
 
-/// Engines that are listed of each kind; the others only count.
+/// Maximum number of engines listed per section. The rest only count towards its total.
 const ENGINES_LISTED: usize = 10;
 
-/// Requests whose first event was late, by the first engine of their chain.
+/// Requests with a late first event that share the first engine of their chain.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
-pub struct LateFirsts {
-    /// How many.
+pub struct LateFirstEvents {
+    /// Number of requests.
     pub requests: usize,
-    /// Expected times to the first event, in ms.
+    /// Expected time to the first event of each request, in ms.
     pub expected_ms: Vec<u64>,
-    /// Times that it took, in ms.
-    pub took_ms: Vec<u64>,
+    /// Actual time to the first event of each request, in ms.
+    pub actual_ms: Vec<u64>,
 }
 
-/// Sends that an engine refused for want of room.
+/// Sends that an engine refused for lack of capacity.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct Refusals {
-    /// How many.
+    /// Number of refused sends.
     pub sends: usize,
-    /// The layers that it held, as text.
+    /// The engine's layer range, as logged.
     pub layers: String,
-    /// KV tokens that the box which sent it believed to be held there, by this box and by all others.
-    pub believed_tokens: Vec<u64>,
+    /// For each send, the KV tokens that the sending box estimated the engine to hold, for its own requests and
+    /// for those of all other boxes.
+    pub estimated_tokens: Vec<u64>,
 }
 
-/// Second sends that the shared budget forbade.
+/// Second sends denied by the shared budget.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
-pub struct Denials {
-    /// By the number of boxes that was believed to share the budget.
+pub struct BudgetDenials {
+    /// Number of denials by the number of boxes that the sender assumed to share the budget.
     pub by_boxes: BTreeMap<u64, usize>,
 }
 
-/// Where requests crowded.
+/// Events of a log that point to overloaded engines.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct Crowding {
-    /// By the first engine.
-    pub late_firsts: BTreeMap<String, LateFirsts>,
-    /// By the engine that refused.
+    /// Late first events by the first engine of the chain.
+    pub late_first_events: BTreeMap<String, LateFirstEvents>,
+    /// Refused sends by the refusing engine.
     pub refusals: BTreeMap<String, Refusals>,
-    /// Of all services.
-    pub denials: Denials,
+    /// Budget denials of all services.
+    pub denials: BudgetDenials,
 }
 
-/// Find where the requests of a log crowded. Lines that are no JSON count for nothing.
+/// Collects late first events, refused sends and budget denials from a log. Lines that aren't JSON are ignored.
 pub fn crowding<'a>(log: impl IntoIterator<Item = &'a str>) -> Crowding {
     let mut crowding = Crowding::default();
     for line in log.into_iter().filter_map(Line::parse) {
         match line.text("event") {
-            "answered" if line.is_true("first_late") => crowding.late_first(&line),
-            "target-refused" => crowding.refusal(&line),
-            "budget" => crowding.denial(&line),
+            "answered" if line.is_true("first_late") => crowding.record_late_first(&line),
+            "target-refused" => crowding.record_refusal(&line),
+            "budget" => crowding.record_denial(&line),
             _ => {}
         }
     }
@@ -64,15 +66,15 @@
 }
 
 impl Crowding {
-    fn late_first(&mut self, line: &Line) {
+    fn record_late_first(&mut self, line: &Line) {
         let first = line.text("targets").split(',').next().unwrap_or_default();
-        let late = self.late_firsts.entry(first.to_owned()).or_default();
+        let late = self.late_first_events.entry(first.to_owned()).or_default();
         late.requests += 1;
         late.expected_ms.extend(line.number("expected_first_ms"));
-        late.took_ms.extend(line.number("first_ms"));
+        late.actual_ms.extend(line.number("first_ms"));
     }
 
-    fn refusal(&mut self, line: &Line) {
+    fn record_refusal(&mut self, line: &Line) {
         let refusals = self.refusals.entry(line.text("target").to_owned());
         let refusals = refusals.or_default();
         refusals.sends += 1;
@@ -81,53 +83,59 @@
         let elsewhere = line.number("tokens_elsewhere");
         let believed = here.zip(elsewhere);
         refusals
-            .believed_tokens
+            .estimated_tokens
             .extend(believed.map(|(here, elsewhere)| here.saturating_add(elsewhere)));
     }
 
-    fn denial(&mut self, line: &Line) {
+    fn record_denial(&mut self, line: &Line) {
         let boxes = line.number("boxes").unwrap_or_default();
         *self.denials.by_boxes.entry(boxes).or_default() += 1;
     }
 }
 
-/// The median; `None` of nothing.
-fn median(figures: &[u64]) -> Option<u64> {
-    let mut sorted = figures.to_vec();
+/// Returns the median, or `None` if there are no samples.
+fn median(samples: &[u64]) -> Option<u64> {
+    let mut sorted = samples.to_vec();
     sorted.sort_unstable();
     sorted.get(sorted.len() / 2).copied()
 }
 
-/// A median as text; a dash where no line told the figure.
-fn shown(figures: &[u64]) -> String {
-    median(figures).map_or("-".to_owned(), |figure| figure.to_string())
+/// Formats the median, or a dash if no line had the value.
+fn median_text(samples: &[u64]) -> String {
+    median(samples).map_or("-".to_owned(), |value| value.to_string())
 }
 
 impl fmt::Display for Crowding {
     fn fmt(&self, f: &mut Formatter<'_>) -> fmt::Result {
-        write_late_firsts(f, &self.late_firsts)?;
+        write_late_first_events(f, &self.late_first_events)?;
         write_refusals(f, &self.refusals)?;
         write_denials(f, &self.denials)
     }
 }
 
-fn write_late_firsts(f: &mut Formatter<'_>, late: &BTreeMap<String, LateFirsts>) -> fmt::Result {
-    let requests = |of: &LateFirsts| of.requests;
+fn write_late_first_events(
+    f: &mut Formatter<'_>,
+    late: &BTreeMap<String, LateFirstEvents>,
+) -> fmt::Result {
+    let requests = |entry: &LateFirstEvents| entry.requests;
     let all = total(late, requests);
     writeln!(f, "{all} late first events, by the first engine")?;
     for row in ranked(late, requests).iter().take(ENGINES_LISTED) {
-        let (expected, took) = (shown(&row.of.expected_ms), shown(&row.of.took_ms));
-        writeln!(f, "{row}  expected {expected} ms, took {took} ms")?;
+        let (expected, actual) = (
+            median_text(&row.entry.expected_ms),
+            median_text(&row.entry.actual_ms),
+        );
+        writeln!(f, "{row}  expected {expected} ms, took {actual} ms")?;
     }
     Ok(())
 }
 
 fn write_refusals(f: &mut Formatter<'_>, refusals: &BTreeMap<String, Refusals>) -> fmt::Result {
-    let sends = |of: &Refusals| of.sends;
+    let sends = |entry: &Refusals| entry.sends;
     let all = total(refusals, sends);
     writeln!(f, "{all} sends refused for want of room, by engine")?;
     for row in ranked(refusals, sends).iter().take(ENGINES_LISTED) {
-        let (layers, tokens) = (&row.of.layers, shown(&row.of.believed_tokens));
+        let (layers, tokens) = (&row.entry.layers, median_text(&row.entry.estimated_tokens));
         writeln!(
             f,
             "{row}  layers {layers}, believed to hold {tokens} tokens"
@@ -136,7 +144,7 @@
     Ok(())
 }
 
-fn write_denials(f: &mut Formatter<'_>, denials: &Denials) -> fmt::Result {
+fn write_denials(f: &mut Formatter<'_>, denials: &BudgetDenials) -> fmt::Result {
     let all: usize = denials.by_boxes.values().sum();
     writeln!(f, "{all} second sends denied, by the boxes counted")?;
     for (boxes, count) in &denials.by_boxes {
--- a/reachtally-journal/src/explain.rs
+++ b/reachtally-journal/src/explain.rs
@@ -1,14 +1,15 @@
-//! Follows one request through the logs of several boxes.
+//! Traces one request through the logs of several boxes.
 
 use serde_json::Value;
 
 use crate::line::Line;
 
-/// Lines about targets and dependencies are shown from this long before the request's first line, in
-/// milliseconds: what a box believed then is usually a few seconds old.
-const BEFORE_MS: u64 = 5_000;
-/// Events that change what a box believes; they are shown beside the request's own lines.
-const BELIEFS: [&str; 13] = [
+/// How long before the request's first line state events are included, in milliseconds. The state that a
+/// box acts on is usually a few seconds old.
+const CONTEXT_MS: u64 = 5_000;
+/// Events that change a box's view of targets, dependencies or configuration. They are shown as context
+/// of the request's own lines.
+const STATE_EVENTS: [&str; 13] = [
     "config",
     "lost-dependency",
     "regained",
@@ -23,17 +24,17 @@
     "target-gone",
     "dropped",
 ];
-/// Fields that have a column of their own, or say nothing here.
-const SHOWN_APART: [&str; 7] = ["t", "up", "box", "level", "event", "id", "msg"];
+/// Fields left out of the details: they have their own column or are not relevant here.
+const OMITTED_FIELDS: [&str; 7] = ["t", "up", "box", "level", "event", "id", "msg"];
 
 /// Why a request can't be explained.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Error {
-    /// No line names it: it was a success that was not sampled, or the logs are not those of its time.
+    /// No line has the request's id: it succeeded and was not sampled, or the logs cover another period.
     NotFound {
-        /// Lines read.
+        /// Number of lines read.
         lines: usize,
-        /// Lines that were no JSON.
+        /// Number of lines that could not be decoded as JSON.
         malformed: usize,
     },
 }
@@ -50,15 +51,15 @@
 
 impl std::error::Error for Error {}
 
-fn is_belief(line: &Line) -> bool {
-    BELIEFS.contains(&line.text("event"))
+fn is_state_event(line: &Line) -> bool {
+    STATE_EVENTS.contains(&line.text("event"))
 }
 
-/// The lines that tell of the request `id`, in the order of their time, with the changes of belief of
-/// the boxes that handled it.
+/// Returns the log lines of the request `id` in chronological order, together with state events of the
+/// boxes that handled it.
 ///
 /// # Errors
-/// [`Error::NotFound`].
+/// [`Error::NotFound`] if no line has this id.
 pub fn explain<'a>(log: impl IntoIterator<Item = &'a str>, id: &str) -> Result<String, Error> {
     let mut lines = Vec::new();
     let mut read = 0;
@@ -70,9 +71,13 @@
             None => malformed += 1,
         }
     }
-    lines.sort_by_key(|line| line.at);
-    let own = |line: &&Line| line.text("id") == id;
-    let times: Vec<u64> = lines.iter().filter(own).map(|line| line.at).collect();
+    lines.sort_by_key(|line| line.time_ms);
+    let is_own = |line: &&Line| line.text("id") == id;
+    let times: Vec<u64> = lines
+        .iter()
+        .filter(is_own)
+        .map(|line| line.time_ms)
+        .collect();
     let (Some(first), Some(last)) = (times.first(), times.last()) else {
         return Err(Error::NotFound {
             lines: read,
@@ -81,26 +86,26 @@
     };
     let boxes: Vec<&str> = lines
         .iter()
-        .filter(own)
+        .filter(is_own)
         .map(|line| line.text("box"))
         .collect();
-    let during = first.saturating_sub(BEFORE_MS)..=*last;
-    let shown = lines.iter().filter(|line| {
-        let is_context = is_belief(line) && boxes.contains(&line.text("box"));
-        own(line) || (is_context && during.contains(&line.at))
+    let during = first.saturating_sub(CONTEXT_MS)..=*last;
+    let selected = lines.iter().filter(|line| {
+        let is_context = is_state_event(line) && boxes.contains(&line.text("box"));
+        is_own(line) || (is_context && during.contains(&line.time_ms))
     });
-    Ok(shown.map(|line| render(line, *first, id)).collect())
+    Ok(selected.map(|line| render(line, *first, id)).collect())
 }
 
 fn render(line: &Line, first: u64, id: &str) -> String {
-    let offset = line.at as i64 - first as i64;
+    let offset = line.time_ms as i64 - first as i64;
     let mark = if line.text("id") == id { '*' } else { ' ' };
     let details = line
         .fields
         .iter()
-        .filter(|(name, _)| !SHOWN_APART.contains(&name.as_str()));
+        .filter(|(name, _)| !OMITTED_FIELDS.contains(&name.as_str()));
     let details: Vec<String> = details
-        .map(|(name, value)| format!("{name}={}", plain(value)))
+        .map(|(name, value)| format!("{name}={}", value_text(value)))
         .collect();
     format!(
         "{mark} {offset:>+7} ms  {:<16} {:<14} {}  [{}]\n",
@@ -111,7 +116,7 @@
     )
 }
 
-fn plain(value: &Value) -> String {
+fn value_text(value: &Value) -> String {
     match value {
         Value::String(text) => text.clone(),
         other => other.to_string(),
--- a/reachtally-journal/src/lib.rs
+++ b/reachtally-journal/src/lib.rs
@@ -1,8 +1,8 @@
-//! The decision log: one JSON line for each decision, on standard output.
+//! The decision log: one JSON line per decision, written to standard output.
 //!
-//! Records come through the `log` crate with key-values. They are encoded at once and wait in a
-//! bounded queue for a task that writes them, so a reader that does not read never holds up a request.
-//! When the queue is full, lines are dropped and counted, and the count is written once there is room.
+//! Records arrive through the `log` crate with key-value pairs. They are encoded immediately and queued for
+//! a writer task, so a consumer that stops reading never blocks a request. The queue is bounded: when it is
+//! full, lines are dropped and counted, and the count is written once there is room again.
 #![forbid(unsafe_code)]
 #![deny(missing_docs)]
 
@@ -27,29 +27,30 @@
 
 use crate::queue::Queue;
 
-pub use crowding::{Crowding, Denials, LateFirsts, Refusals, crowding};
+pub use crowding::{BudgetDenials, Crowding, LateFirstEvents, Refusals, crowding};
 pub use explain::{Error as ExplainError, explain};
 pub use losses::{Losses, losses};
 
-/// Most time that the end of a process waits for its last lines.
-const FLUSH_TIME: std::time::Duration = std::time::Duration::from_millis(100);
+/// How long a process waits on exit for its remaining lines to be written.
+const FLUSH_TIMEOUT: std::time::Duration = std::time::Duration::from_millis(100);
 
 struct Journal {
     name: String,
     started: Instant,
     queue: Mutex<Queue>,
-    written: Notify,
+    line_queued: Notify,
 }
 
 static JOURNAL: OnceLock<Journal> = OnceLock::new();
 
-/// Start the log of the process `name`; must be called on a runtime.
+/// Installs the logger of the process `name` and spawns its writer task. Must be called from within a Tokio
+/// runtime that supports `spawn_local`.
 pub fn start(name: &str) {
     let journal = JOURNAL.get_or_init(|| Journal {
         name: name.to_owned(),
         started: Instant::now(),
         queue: Mutex::default(),
-        written: Notify::new(),
+        line_queued: Notify::new(),
     });
     if log::set_logger(journal).is_ok() {
         log::set_max_level(LevelFilter::Info);
@@ -57,7 +58,7 @@
     }
 }
 
-/// Wait a short time until all lines are written.
+/// Waits until all queued lines are written, but no longer than a short timeout.
 pub async fn flush() {
     let Some(journal) = JOURNAL.get() else {
         return;
@@ -67,8 +68,8 @@
             tokio::time::sleep(std::time::Duration::from_millis(5)).await;
         }
     };
-    if tokio::time::timeout(FLUSH_TIME, empty).await.is_err() {
-        eprintln!("the last lines of the log were not written in time");
+    if tokio::time::timeout(FLUSH_TIMEOUT, empty).await.is_err() {
+        eprintln!("timed out while flushing the log; some lines were not written");
     }
 }
 
@@ -78,18 +79,18 @@
     }
 
     fn encode(&self, record: &Record<'_>) -> Vec<u8> {
-        let wall = SystemTime::now()
+        let unix_time = SystemTime::now()
             .duration_since(UNIX_EPOCH)
             .unwrap_or_default();
         let mut fields = Fields(Map::new());
-        fields.put("t", wall.as_millis() as u64);
-        fields.put("up", self.started.elapsed().as_millis() as u64);
-        fields.put("box", self.name.as_str());
-        fields.put("level", record.level().as_str());
+        fields.insert("t", unix_time.as_millis() as u64);
+        fields.insert("up", self.started.elapsed().as_millis() as u64);
+        fields.insert("box", self.name.as_str());
+        fields.insert("level", record.level().as_str());
         if record.key_values().visit(&mut fields).is_err() {
-            fields.put("lost-fields", true);
+            fields.insert("lost-fields", true);
         }
-        fields.put("msg", record.args().to_string());
+        fields.insert("msg", record.args().to_string());
         let mut line = Json::Object(fields.0).to_string().into_bytes();
         line.push(b'\n');
         line
@@ -103,7 +104,7 @@
 struct Fields(Map<String, Json>);
 
 impl Fields {
-    fn put(&mut self, name: &str, value: impl Into<Json>) {
+    fn insert(&mut self, name: &str, value: impl Into<Json>) {
         self.0.insert(name.to_owned(), value.into());
     }
 }
@@ -132,13 +133,14 @@
         }
         let line = self.encode(record);
         self.lock().push(line);
-        self.written.notify_one();
+        self.line_queued.notify_one();
     }
 
     fn flush(&self) {}
 }
 
-/// Write lines as they come. A pipe is written without blocking; a file never blocks for long.
+/// Writes queued lines to standard output. Pipes are written without blocking; writes to a file never block
+/// for long.
 async fn write(journal: &'static Journal) {
     let stdout = std::io::stdout();
     let owned = stdout.as_fd().try_clone_to_owned();
@@ -152,10 +154,10 @@
                 None => stdout.lock().write_all(&line),
             };
             if result.is_err() {
-                // Nobody reads the log any more; there is nowhere left to say so.
+                // The reader of standard output is gone, so the error can't be logged either.
                 return;
             }
         }
-        journal.written.notified().await;
+        journal.line_queued.notified().await;
     }
 }
--- a/reachtally-journal/src/losses.rs
+++ b/reachtally-journal/src/losses.rs
@@ -1,12 +1,12 @@
-//! Counts what requests that were not served in time were lost to.
+//! Counts requests that were not served in time by their cause.
 
 use std::collections::{BTreeMap, HashMap};
 
 use crate::line::Line;
 use crate::ranking::{ranked, total};
 
-/// Events of a request that may make it late or lose it, before it ends.
-const TROUBLES: [&str; 8] = [
+/// Events that can delay a request or make it fail before its final event.
+const INCIDENT_EVENTS: [&str; 8] = [
     "admission",
     "no-path",
     "no-permit",
@@ -17,10 +17,10 @@
     "broke",
 ];
 
-/// How requests ended that were not served in time, and how many ended so.
+/// Requests that were not served in time, counted by cause.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct Losses {
-    /// Numbers of requests by their end and the first trouble before it.
+    /// Number of requests by their outcome and the first incident before it.
     pub counts: BTreeMap<String, usize>,
 }
 
@@ -34,36 +34,38 @@
     }
 }
 
-/// Count how the requests of a log ended that were not served in time, with the first trouble of each.
-/// Requests that were served in time and lines that are no JSON count for nothing.
+/// Counts the requests of a log that were not served in time by their outcome and first incident. Requests
+/// that were served in time and lines that aren't JSON are ignored.
 pub fn losses<'a>(log: impl IntoIterator<Item = &'a str>) -> Losses {
     let mut lines: Vec<Line> = log.into_iter().filter_map(Line::parse).collect();
-    lines.sort_by_key(|line| line.at);
-    let mut troubles: HashMap<String, String> = HashMap::new();
+    lines.sort_by_key(|line| line.time_ms);
+    let mut first_incidents: HashMap<String, String> = HashMap::new();
     let mut losses = Losses::default();
     for line in &lines {
         let id = line.text("id");
         if id.is_empty() {
             continue;
         }
-        if TROUBLES.contains(&line.text("event")) {
-            let trouble = || trouble(line);
-            troubles.entry(id.to_owned()).or_insert_with(trouble);
+        if INCIDENT_EVENTS.contains(&line.text("event")) {
+            let incident = || incident_label(line);
+            first_incidents
+                .entry(id.to_owned())
+                .or_insert_with(incident);
             continue;
         }
-        let Some(end) = end(line) else {
+        let Some(outcome) = outcome(line) else {
             continue;
         };
-        let label = match troubles.remove(id) {
-            Some(trouble) => format!("{end}, first {trouble}"),
-            None => end,
+        let label = match first_incidents.remove(id) {
+            Some(incident) => format!("{outcome}, first {incident}"),
+            None => outcome,
         };
         *losses.counts.entry(label).or_default() += 1;
     }
     losses
 }
 
-fn trouble(line: &Line) -> String {
+fn incident_label(line: &Line) -> String {
     match line.text("event") {
         "no-path" => format!("no path ({})", line.text("lacks")),
         "admission" if line.text("verdict") == "refused" => {
@@ -80,8 +82,8 @@
     }
 }
 
-/// How a request ended that was not served in time; `None` for other lines.
-fn end(line: &Line) -> Option<String> {
+/// Describes the outcome of a request that was not served in time; `None` for all other lines.
+fn outcome(line: &Line) -> Option<String> {
     let why = line.text("why");
     match line.text("event") {
         "refused" => Some(format!("refused ({why})")),
--- a/reachtally-journal/src/queue.rs
+++ b/reachtally-journal/src/queue.rs
@@ -1,11 +1,12 @@
-//! Lines that wait to be written.
+//! The bounded queue of lines to be written.
 
 use std::collections::VecDeque;
 
-/// Most bytes that wait: some thousand lines, a second of a box on which everything fails.
+/// Capacity in bytes: about a thousand lines, which is one second of output of a box on which every
+/// request fails.
 pub const QUEUE_BYTES: usize = 256 * 1024;
 
-/// A bounded queue. What does not fit is dropped and counted, never waited for.
+/// A bounded queue of encoded lines. A line that does not fit is dropped and counted; `push` never blocks.
 #[derive(Debug, Default)]
 pub struct Queue {
     lines: VecDeque<Vec<u8>>,
@@ -14,7 +15,7 @@
 }
 
 impl Queue {
-    /// Take a line in, or count it as dropped.
+    /// Appends a line, or counts it as dropped if the queue is full.
     pub fn push(&mut self, line: Vec<u8>) {
         if self.bytes + line.len() > QUEUE_BYTES {
             self.dropped += 1;
@@ -24,7 +25,8 @@
         self.lines.push_back(line);
     }
 
-    /// The next line to write. Once there is room again, the count of those dropped goes first.
+    /// Removes and returns the next line to write. If lines were dropped, their count is returned first, as a
+    /// line of the box `name`.
     pub fn next(&mut self, name: &str) -> Option<Vec<u8>> {
         if self.dropped > 0 {
             let dropped = std::mem::take(&mut self.dropped);
@@ -36,7 +38,7 @@
         Some(line)
     }
 
-    /// Whether nothing waits.
+    /// Returns whether there is nothing to write, neither lines nor a count of dropped ones.
     pub fn is_empty(&self) -> bool {
         self.lines.is_empty() && self.dropped == 0
     }
--- a/reachtally-journal/src/ranking.rs
+++ b/reachtally-journal/src/ranking.rs
@@ -1,14 +1,14 @@
-//! What was counted, the most frequent first.
+//! Counters sorted by frequency.
 
 use std::collections::BTreeMap;
 use std::fmt;
 
-/// Something that was counted, with its part of all.
+/// A counted entry with its share of the total.
 pub(crate) struct Row<'a, T> {
-    /// What it is called.
+    /// The entry's key.
     pub label: &'a str,
-    /// What is known of it.
-    pub of: &'a T,
+    /// The entry's value.
+    pub entry: &'a T,
     count: usize,
     percent: f64,
 }
@@ -25,27 +25,27 @@
     }
 }
 
-/// How often all of it was counted.
+/// Returns the sum of the counts of all entries.
 pub(crate) fn total<T>(counted: &BTreeMap<String, T>, count: impl Fn(&T) -> usize) -> usize {
     counted.values().map(count).sum()
 }
 
-/// The entries by how often each was counted, the most frequent first.
+/// Returns the entries by descending count; entries with equal counts are sorted by label.
 pub(crate) fn ranked<T>(
     counted: &BTreeMap<String, T>,
     count: impl Fn(&T) -> usize,
 ) -> Vec<Row<'_, T>> {
     let all = total(counted, &count).max(1) as f64;
-    let row = |(label, of)| {
-        let count = count(of);
+    let row = |(label, entry)| {
+        let count = count(entry);
         Row {
             label,
-            of,
+            entry,
             count,
             percent: count as f64 * 100.0 / all,
         }
     };
-    let by_label = counted.iter().map(|(label, of)| (label.as_str(), of));
+    let by_label = counted.iter().map(|(label, entry)| (label.as_str(), entry));
     let mut rows: Vec<Row<'_, T>> = by_label.map(row).collect();
     rows.sort_by(|a, b| b.count.cmp(&a.count).then(a.label.cmp(b.label)));
     rows
--- a/reachtally-journal/tests/journal/main.rs
+++ b/reachtally-journal/tests/journal/main.rs
@@ -1,18 +1,18 @@
-//! The decision log.
+//! Tests of the decision log and of the reports made from it.
 
 use reachtally_journal::queue::{QUEUE_BYTES, Queue};
 use reachtally_journal::{ExplainError, crowding, explain, losses};
 
 #[test]
-fn a_full_queue_drops_and_counts_and_never_grows() {
+fn a_full_queue_stays_bounded_and_counts_dropped_lines() {
     let mut queue = Queue::default();
     let line = vec![b'x'; 1000];
     let fits = QUEUE_BYTES / line.len();
     for _ in 0..fits + 37 {
         queue.push(line.clone());
     }
-    let first = queue.next("box-1").expect("the count is told first");
-    let first = String::from_utf8(first).expect("it is a text");
+    let first = queue.next("box-1").expect("the drop count comes first");
+    let first = String::from_utf8(first).expect("valid UTF-8");
     assert_eq!(
         first,
         "{\"box\":\"box-1\",\"event\":\"dropped\",\"lines\":37}\n"
@@ -37,8 +37,8 @@
 ];
 
 #[test]
-fn one_request_is_followed_in_time_with_what_its_boxes_believed() {
-    let text = explain(LOG, "r1").expect("it is there");
+fn explain_shows_a_request_in_order_with_state_events_of_its_boxes() {
+    let text = explain(LOG, "r1").expect("the request is in the log");
     let lines: Vec<&str> = text.lines().collect();
     let expected = [
         "     -100 ms  b1               target-dead    gone  [target=e1]",
@@ -49,8 +49,8 @@
 }
 
 #[test]
-fn an_id_that_is_not_there_is_an_error_that_says_what_was_read() {
-    let error = explain(LOG, "r9").expect_err("it is not there");
+fn explain_reports_an_unknown_id_with_the_lines_read() {
+    let error = explain(LOG, "r9").expect_err("the request is not in the log");
     let expected = ExplainError::NotFound {
         lines: 6,
         malformed: 1,
@@ -63,7 +63,7 @@
 }
 
 #[test]
-fn requests_that_were_not_served_in_time_are_counted_by_their_end_and_first_trouble() {
+fn losses_are_counted_by_outcome_and_first_incident() {
     let log = [
         r#"{"t":1,"event":"no-path","id":"r1","lacks":"gap 1, unusable 0, full 2"}"#,
         r#"{"t":2,"event":"refused","id":"r1","why":"NoTarget"}"#,
@@ -90,7 +90,7 @@
 }
 
 #[test]
-fn requests_that_rate_limits_alone_kept_back_are_counted_as_such() {
+fn losses_to_rate_limits_are_counted_as_such() {
     let log = [
         r#"{"t":1,"event":"no-permit","id":"r1"}"#,
         r#"{"t":1,"event":"no-path","id":"r1","lacks":"limited 1"}"#,
@@ -103,7 +103,7 @@
 }
 
 #[test]
-fn a_stream_that_was_late_after_a_repair_of_its_path_is_counted_as_such() {
+fn losses_after_a_path_repair_are_counted_as_such() {
     let log = [
         r#"{"t":1,"event":"repaired","id":"r1"}"#,
         r#"{"t":2,"event":"answered","id":"r1","late":true}"#,
@@ -115,7 +115,7 @@
 }
 
 #[test]
-fn requests_that_were_not_admitted_are_counted_by_rank() {
+fn losses_to_admission_are_counted_by_rank() {
     let log = [
         r#"{"t":1,"event":"admission","id":"r1","rank":2,"verdict":"refused"}"#,
         r#"{"t":2,"event":"refused","id":"r1","why":"Shed"}"#,
@@ -132,7 +132,7 @@
 }
 
 #[test]
-fn engines_that_requests_crowd_on_are_told_with_what_was_believed_of_them() {
+fn crowding_lists_overloaded_engines_with_their_estimated_load() {
     let late = |expected, took, targets| {
         format!(
             r#"{{"t":1,"event":"answered","id":"r","late":true,"first_late":true,"expected_first_ms":{expected},"first_ms":{took},"targets":"{targets}"}}"#
@@ -174,7 +174,7 @@
 }
 
 #[test]
-fn a_line_without_figures_counts_all_the_same() {
+fn crowding_counts_lines_without_numbers() {
     let text = crowding(["{}", r#"{"t":1,"event":"target-refused","target":"e1"}"#]).to_string();
     let lines: Vec<&str> = text.lines().collect();
     let expected = [
