--- a/reachtally-clock/src/lib.rs
+++ b/reachtally-clock/src/lib.rs
@@ -1,10 +1,11 @@
-//! The time that decisions work with.
+//! A monotonic clock for routing decisions that includes the time during which the machine is suspended.
 //!
-//! The runtime's clock stands still while the machine is suspended. To it, a lease, a confirmation or a permit from before is as
-//! young as it was, though others have gone on. So each reading is compared with the clock that counts from the start of
-//! the machine, and what the runtime's clock has left out is added.
+//! The runtime's clock stops while the machine is suspended. Measured by it, a lease, confirmation or permit from before a
+//! suspension does not age, although the other boxes continued. Each reading is therefore compared with the boot clock, and
+//! the time that the runtime's clock missed is added.
 //!
-//! Timers of the runtime still leave it out: what must end by a time compares instants, and does not rely on a timer.
+//! The runtime's timers still don't count suspensions. Code that must stop by a deadline compares instants instead of relying
+//! on a timer.
 #![forbid(unsafe_code)]
 #![deny(missing_docs)]
 
@@ -15,13 +16,14 @@
 use reachtally_core::Instant;
 use tokio::time;
 
-/// Shortest suspension that counts: the two clocks are not read at the same moment, and a thread may be held up in between.
-const LEAST_SUSPENSION: Duration = Duration::from_millis(20);
+/// Differences between the clocks below this are not taken for a suspension: the clocks are not read at the same moment, and
+/// the thread may be preempted between the two readings.
+const MIN_SUSPENSION: Duration = Duration::from_millis(20);
 
-/// Time since the machine started, with what it was suspended for; `None` if it can't be read.
+/// Returns the time since the machine booted, including suspensions, or `None` if it can't be read.
 pub type BootClock = Box<dyn Fn() -> Option<Duration> + Send>;
 
-/// The machine's own [`BootClock`].
+/// Returns the [`BootClock`] of this machine, which reads `CLOCK_BOOTTIME`.
 pub fn boot_clock() -> BootClock {
     Box::new(|| {
         clock_gettime(ClockId::CLOCK_BOOTTIME)
@@ -30,86 +32,86 @@
     })
 }
 
-/// The clock of one process. It never goes back.
+/// The clock of a process. Its readings never decrease.
 pub struct Clock {
     started: time::Instant,
-    boot: BootClock,
-    /// What the boot clock showed at the start.
+    boot_clock: BootClock,
+    /// Reading of the boot clock at the start; `None` if it could not be read.
     boot_started: Option<Duration>,
-    /// What the runtime's clock has left out so far.
+    /// Suspended time so far, which the runtime's clock does not include.
     suspended: Cell<Duration>,
-    /// Whether the boot clock is known to be of no use, so that it is logged once.
-    is_boot_odd: Cell<bool>,
+    /// Whether an error of the boot clock was logged already; it is logged once.
+    boot_clock_error_reported: Cell<bool>,
 }
 
 impl Clock {
-    /// A clock that starts now and counts suspensions by `boot`.
-    pub fn start(boot: BootClock) -> Self {
-        let boot_started = boot();
+    /// Starts a clock that detects suspensions by `boot_clock`.
+    pub fn start(boot_clock: BootClock) -> Self {
+        let boot_started = boot_clock();
         let clock = Clock {
             started: time::Instant::now(),
-            boot,
+            boot_clock,
             boot_started,
             suspended: Cell::default(),
-            is_boot_odd: Cell::default(),
+            boot_clock_error_reported: Cell::default(),
         };
         if boot_started.is_none() {
-            clock.note_odd("it can't be read");
+            clock.report_boot_clock_error("it could not be read");
         }
         clock
     }
 
-    /// The runtime's clock alone, for what runs on a clock that is paused and advanced.
+    /// Starts a clock that follows the runtime's clock alone, for tests and simulations on a paused clock.
     pub fn of_runtime() -> Self {
         let started = time::Instant::now();
         Clock::start(Box::new(move || Some(started.elapsed())))
     }
 
-    /// The time for decisions.
+    /// Returns the current time, including suspensions.
     pub fn now(&self) -> Instant {
-        // Read first: a suspension between the two readings must not be missed.
-        let steady = self.started.elapsed();
-        self.note_suspension(steady);
-        Instant::from_elapsed(steady + self.suspended.get())
+        // Read before the boot clock, so that a suspension between the two readings is not missed.
+        let runtime_elapsed = self.started.elapsed();
+        self.update_suspended(runtime_elapsed);
+        Instant::from_elapsed(runtime_elapsed + self.suspended.get())
     }
 
-    /// The runtime's form of `at`, for timers. A suspension that comes after this is not in it.
+    /// Converts `at` to the runtime's clock, for timers. Suspensions after this call are not taken into account.
     pub fn timer(&self, at: Instant) -> time::Instant {
         self.started + at.elapsed().saturating_sub(self.suspended.get())
     }
 
-    /// Add what the boot clock has counted beside `steady`, the runtime's time.
-    fn note_suspension(&self, steady: Duration) {
-        let Some(boot) = self.boot_elapsed() else {
+    /// Updates the suspended time from the boot clock and `runtime_elapsed`, the runtime's time since the start.
+    fn update_suspended(&self, runtime_elapsed: Duration) {
+        let Some(boot_elapsed) = self.boot_elapsed() else {
             return;
         };
-        let suspended = boot.saturating_sub(steady);
+        let suspended = boot_elapsed.saturating_sub(runtime_elapsed);
         let before = self.suspended.get();
-        if suspended < before + LEAST_SUSPENSION {
+        if suspended < before + MIN_SUSPENSION {
             return;
         }
         self.suspended.set(suspended);
         let ms = (suspended - before).as_millis() as u64;
-        log::warn!(event = "suspended", ms = ms; "the machine was suspended: what is known is as much older");
+        log::warn!(event = "suspended", ms = ms; "the machine was suspended; the age of all state grows by this time");
     }
 
-    /// What the boot clock has counted since the start.
+    /// Returns the time since the start by the boot clock.
     fn boot_elapsed(&self) -> Option<Duration> {
         let started = self.boot_started?;
-        let Some(boot) = (self.boot)() else {
-            self.note_odd("it can't be read");
+        let Some(reading) = (self.boot_clock)() else {
+            self.report_boot_clock_error("it could not be read");
             return None;
         };
-        let elapsed = boot.checked_sub(started);
+        let elapsed = reading.checked_sub(started);
         if elapsed.is_none() {
-            self.note_odd("it went back");
+            self.report_boot_clock_error("the reading decreased");
         }
         elapsed
     }
 
-    fn note_odd(&self, why: &str) {
-        if !self.is_boot_odd.replace(true) {
-            log::error!(event = "boot-clock-odd", why = why; "the boot clock is of no use: suspensions of the machine are not counted");
+    fn report_boot_clock_error(&self, why: &str) {
+        if !self.boot_clock_error_reported.replace(true) {
+            log::error!(event = "boot-clock-odd", why = why; "the boot clock is unusable; suspensions of the machine are not detected");
         }
     }
 }
--- a/reachtally-log/src/http.rs
+++ b/reachtally-log/src/http.rs
@@ -1,4 +1,4 @@
-//! The HTTP adapters for the log and the live list.
+//! HTTP adapters for the log and the live list.
 
 use std::time::Duration;
 
@@ -9,40 +9,40 @@
 
 use crate::{AppendError, LiveList, Log, Page, Unavailable};
 
-/// Time for an append or a list read; for a log read this comes on top of the wait asked for.
+/// Timeout of an append or a list read. A log read gets this on top of the requested wait.
 const TIMEOUT: Duration = Duration::from_secs(2);
-/// Time for a connection to come about.
+/// Timeout for establishing a connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// The log's answer to an append.
+/// Response body of an append.
 #[derive(Debug, Clone, Copy, Serialize, Deserialize)]
 pub struct Appended {
-    /// The record's offset.
+    /// The offset assigned to the record.
     pub offset: u64,
 }
 
-/// One box on the live list.
+/// A box on the live list.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct ListedBox {
     /// The box's name.
     pub name: String,
-    /// Whether it is leaving.
+    /// Whether the box is leaving the fleet.
     pub leaving: bool,
-    /// For an entry box, its failure domain and where other daemons reach it.
+    /// Failure domain and peer address; only set for an entry box.
     #[serde(default)]
     pub peer: Option<ListedPeer>,
 }
 
-/// An entry box on the live list.
+/// Failure domain and peer address of an entry box on the live list.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct ListedPeer {
-    /// Its failure domain.
+    /// The failure domain of the box.
     pub domain: String,
-    /// Where other daemons reach it.
+    /// The address at which other daemons reach the box.
     pub address: String,
 }
 
-/// The platform reached over HTTP.
+/// Client for the platform's services over HTTP.
 #[derive(Debug, Clone)]
 pub struct HttpPlatform {
     client: Client,
@@ -51,10 +51,10 @@
 }
 
 impl HttpPlatform {
-    /// An adapter for the log and the list at these base addresses.
+    /// Creates a client for the log and the live list at these base URLs.
     ///
     /// # Errors
-    /// The client's, if it can't be set up.
+    /// An error of `reqwest` if the HTTP client can't be built.
     pub fn new(log_url: &str, list_url: &str) -> Result<Self, reqwest::Error> {
         let client = Client::builder()
             .connect_timeout(CONNECT_TIMEOUT)
@@ -111,11 +111,11 @@
             return Err(Unavailable);
         }
         let boxes: Vec<ListedBox> = response.json().await.map_err(|_| Unavailable)?;
-        Ok(boxes.into_iter().map(seen).collect())
+        Ok(boxes.into_iter().map(box_seen).collect())
     }
 }
 
-fn seen(listed: ListedBox) -> BoxSeen {
+fn box_seen(listed: ListedBox) -> BoxSeen {
     BoxSeen {
         name: listed.name,
         leaving: listed.leaving,
--- a/reachtally-log/src/lib.rs
+++ b/reachtally-log/src/lib.rs
@@ -1,6 +1,6 @@
-//! The platform's services as the router uses them: the append-only log and the live list.
+//! Interfaces to the platform's services that the router uses: the append-only log and the live list.
 //!
-//! Each is a trait with one HTTP adapter; [`memory`] holds the log's behaviour for stand-ins and
+//! Each service is a trait with one HTTP adapter. [`memory`] implements the log in memory for stand-ins and
 //! tests.
 #![forbid(unsafe_code)]
 #![deny(missing_docs)]
@@ -14,12 +14,12 @@
 pub mod http;
 pub mod memory;
 
-/// The stream that carries the configuration operators publish.
+/// The stream of configuration changes published by operators.
 pub const CONFIG_STREAM: &str = "config";
-/// The stream of claims and outcomes.
+/// The stream of request claims and their outcomes.
 pub const CLAIMS_STREAM: &str = "claims";
 
-/// The stream of leases and confirmations of the failure domains.
+/// The stream of the failure domains' leases and configuration confirmations.
 pub const DOMAINS_STREAM: &str = "domains";
 /// The stream of configuration snapshots.
 pub const SNAPSHOTS_STREAM: &str = "snapshots";
@@ -27,24 +27,25 @@
 /// One record of a stream.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Record {
-    /// Its offset, from 0 without gaps.
+    /// Offset in the stream; offsets start at 0 and have no gaps.
     pub offset: u64,
-    /// When the log took it, in milliseconds of the log's clock.
+    /// When the log accepted the record, in milliseconds of the log's clock.
     pub at_ms: u64,
-    /// Its content.
+    /// The record's payload.
     pub data: Value,
 }
 
-/// What one read of a stream yields.
+/// The result of one read of a stream.
 #[derive(Debug, Clone, PartialEq, Default, Serialize, Deserialize)]
 pub struct Page {
-    /// The first offset that the log still keeps.
+    /// The first offset that the log still retains.
     pub first: u64,
-    /// The offset that the next record appended will get.
+    /// The offset that the next appended record gets.
     pub end: u64,
-    /// Records from the offset asked for on.
+    /// Records from the requested offset on.
     pub records: Vec<Record>,
-    /// How often the log has come back from an older copy. Offsets of before say nothing then.
+    /// How many times the log has been restored from an older copy. Offsets read before a restore are no
+    /// longer valid.
     #[serde(default)]
     pub returns: u64,
 }
@@ -52,26 +53,26 @@
 /// Why an append was not confirmed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum AppendError {
-    /// The log said that it did not take the record.
+    /// The record was not accepted: the log refused it or no connection could be established.
     Refused,
-    /// The answer was lost; the record may have been taken, or may be yet.
+    /// The response was lost; the record may have been appended, or may still be.
     Lost,
 }
 
-/// Why a read yielded nothing.
+/// The service could not be reached or did not answer a read properly.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Unavailable;
 
 /// The append-only log service.
 pub trait Log {
-    /// Append to `stream`; yields the record's offset.
+    /// Appends a record to `stream` and returns its offset.
     fn append(
         &self,
         stream: &str,
         data: Value,
     ) -> impl Future<Output = Result<u64, AppendError>> + Send;
 
-    /// Read `stream` from `from` on, waiting up to `wait_ms` for the first record.
+    /// Reads `stream` from the offset `from` on, waiting up to `wait_ms` for the first record.
     fn read(
         &self,
         stream: &str,
@@ -80,8 +81,8 @@
     ) -> impl Future<Output = Result<Page, Unavailable>> + Send;
 }
 
-/// The live list.
+/// The platform's list of live boxes.
 pub trait LiveList {
-    /// The boxes it shows; it lags.
+    /// Returns the listed boxes. The list lags behind the actual state.
     fn boxes(&self) -> impl Future<Output = Result<Vec<BoxSeen>, Unavailable>> + Send;
 }
--- a/reachtally-log/src/memory.rs
+++ b/reachtally-log/src/memory.rs
@@ -1,4 +1,5 @@
-//! The log's behaviour in memory: offsets, retention, an append limit, outages, lost answers.
+//! An in-memory log with retention, a rate limit for appends, and injectable faults: outages, lost
+//! responses and delays.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::{Arc, Mutex, MutexGuard};
@@ -10,14 +11,14 @@
 
 use crate::{AppendError, Log, Page, Record, Unavailable};
 
-/// How the log behaves.
+/// Limits of the log.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Options {
-    /// Appends taken a second over all streams.
+    /// Maximum number of appends per second over all streams. Appends refused by this limit count as well.
     pub appends_per_s: u32,
-    /// Records kept in each stream.
+    /// Maximum number of records retained per stream.
     pub keep_records: usize,
-    /// Most records in one page.
+    /// Maximum number of records per page.
     pub page_records: usize,
 }
 
@@ -31,14 +32,14 @@
     }
 }
 
-/// Faults that can be set while it runs.
+/// Faults that can be injected at run time.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct Faults {
-    /// Neither appends nor reads are answered.
+    /// Appends are refused and reads fail.
     pub down: bool,
-    /// So many appends take effect but their answer is lost.
+    /// Number of further appends that take effect but whose response is lost.
     pub lose_answers: u32,
-    /// Delay of each answer.
+    /// Delay before each append or read is processed.
     pub delay: Duration,
 }
 
@@ -55,7 +56,7 @@
 }
 
 #[derive(Debug)]
-struct Inner {
+struct State {
     returns: u64,
     options: Options,
     faults: Faults,
@@ -65,18 +66,18 @@
     window_appends: u32,
 }
 
-/// A log in memory; clones share it.
+/// An in-memory log. Clones share the same state.
 #[derive(Debug, Clone)]
 pub struct MemoryLog {
-    inner: Arc<Mutex<Inner>>,
-    grown: Arc<Notify>,
+    state: Arc<Mutex<State>>,
+    appended: Arc<Notify>,
 }
 
 impl MemoryLog {
-    /// An empty log.
+    /// Creates an empty log.
     pub fn new(options: Options) -> Self {
         let now = Instant::now();
-        let inner = Inner {
+        let state = State {
             returns: 0,
             options,
             faults: Faults::default(),
@@ -86,60 +87,60 @@
             window_appends: 0,
         };
         MemoryLog {
-            inner: Arc::new(Mutex::new(inner)),
-            grown: Arc::new(Notify::new()),
+            state: Arc::new(Mutex::new(state)),
+            appended: Arc::new(Notify::new()),
         }
     }
 
-    /// Change the faults.
+    /// Replaces the injected faults.
     pub fn set_faults(&self, faults: Faults) {
         self.lock().faults = faults;
-        self.grown.notify_waiters();
+        self.appended.notify_waiters();
     }
 
-    fn lock(&self) -> MutexGuard<'_, Inner> {
-        // A poisoned lock means that a holder panicked; the data is plain and still whole.
-        self.inner
+    fn lock(&self) -> MutexGuard<'_, State> {
+        // A poisoned lock means that a holder panicked; the plain data it guards is still consistent.
+        self.state
             .lock()
             .unwrap_or_else(|poisoned| poisoned.into_inner())
     }
 
-    fn take(&self, stream: &str, data: Value) -> Result<u64, AppendError> {
-        let mut inner = self.lock();
-        if inner.faults.down || !inner.within_limit() {
+    fn try_append(&self, stream: &str, data: Value) -> Result<u64, AppendError> {
+        let mut state = self.lock();
+        if state.faults.down || !state.within_limit() {
             return Err(AppendError::Refused);
         }
-        let offset = inner.push(stream, data);
-        drop(inner);
-        self.grown.notify_waiters();
-        let mut inner = self.lock();
-        if inner.faults.lose_answers > 0 {
-            inner.faults.lose_answers -= 1;
+        let offset = state.push(stream, data);
+        drop(state);
+        self.appended.notify_waiters();
+        let mut state = self.lock();
+        if state.faults.lose_answers > 0 {
+            state.faults.lose_answers -= 1;
             return Err(AppendError::Lost);
         }
         Ok(offset)
     }
 
-    /// Come back from a copy that lacks the last `lost` records of a stream.
+    /// Simulates a restore from an older copy that lacks the last `lost` records of `stream`.
     pub fn restore(&self, stream: &str, lost: usize) {
-        let mut inner = self.lock();
-        inner.returns += 1;
-        if let Some(stream) = inner.streams.get_mut(stream) {
-            let left = stream.records.len().saturating_sub(lost);
-            stream.records.truncate(left);
+        let mut state = self.lock();
+        state.returns += 1;
+        if let Some(stream) = state.streams.get_mut(stream) {
+            let remaining = stream.records.len().saturating_sub(lost);
+            stream.records.truncate(remaining);
         }
-        drop(inner);
-        self.grown.notify_waiters();
+        drop(state);
+        self.appended.notify_waiters();
     }
 
     fn page(&self, stream: &str, from: u64) -> Result<Page, Unavailable> {
-        let inner = self.lock();
-        if inner.faults.down {
+        let state = self.lock();
+        if state.faults.down {
             return Err(Unavailable);
         }
-        let Some(stream) = inner.streams.get(stream) else {
+        let Some(stream) = state.streams.get(stream) else {
             return Ok(Page {
-                returns: inner.returns,
+                returns: state.returns,
                 ..Page::default()
             });
         };
@@ -148,8 +149,8 @@
         Ok(Page {
             first: stream.first,
             end: stream.end(),
-            records: records.take(inner.options.page_records).cloned().collect(),
-            returns: inner.returns,
+            records: records.take(state.options.page_records).cloned().collect(),
+            returns: state.returns,
         })
     }
 
@@ -158,7 +159,7 @@
     }
 }
 
-impl Inner {
+impl State {
     fn within_limit(&mut self) -> bool {
         let now = Instant::now();
         if now - self.window_start >= Duration::from_secs(1) {
@@ -190,22 +191,22 @@
 impl Log for MemoryLog {
     async fn append(&self, stream: &str, data: Value) -> Result<u64, AppendError> {
         tokio::time::sleep(self.delay()).await;
-        self.take(stream, data)
+        self.try_append(stream, data)
     }
 
     async fn read(&self, stream: &str, from: u64, wait_ms: u64) -> Result<Page, Unavailable> {
         tokio::time::sleep(self.delay()).await;
         let deadline = Instant::now() + Duration::from_millis(wait_ms);
         loop {
-            let grown = self.grown.notified();
-            tokio::pin!(grown);
-            grown.as_mut().enable();
+            let appended = self.appended.notified();
+            tokio::pin!(appended);
+            appended.as_mut().enable();
             let page = self.page(stream, from)?;
             if !page.records.is_empty() || Instant::now() >= deadline {
                 return Ok(page);
             }
-            // Either the log grew or the wait is over; the page is read again in both cases.
-            tokio::time::timeout_at(deadline, grown).await.ok();
+            // Either a notification arrived or the wait timed out; the page is read again in both cases.
+            tokio::time::timeout_at(deadline, appended).await.ok();
         }
     }
 }
--- a/reachtally-log/tests/log/main.rs
+++ b/reachtally-log/tests/log/main.rs
@@ -1,4 +1,4 @@
-//! Tests of the log in memory, on the paused clock.
+//! Tests of the in-memory log on a paused clock.
 
 use std::time::Duration;
 
@@ -18,7 +18,7 @@
 }
 
 async fn contents(log: &MemoryLog) -> (u64, Vec<Value>) {
-    let page = log.read(STREAM, 0, 0).await.expect("it answers");
+    let page = log.read(STREAM, 0, 0).await.expect("the read succeeds");
     (
         page.first,
         page.records.into_iter().map(|record| record.data).collect(),
@@ -26,7 +26,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn offsets_follow_each_other_and_old_records_are_dropped() {
+async fn offsets_are_consecutive_and_old_records_are_dropped() {
     let log = log(Options {
         keep_records: 2,
         ..Options::default()
@@ -51,7 +51,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_lost_answer_leaves_its_record() {
+async fn an_append_with_a_lost_response_keeps_its_record() {
     let log = log(Options::default());
     log.set_faults(Faults {
         lose_answers: 1,
@@ -63,7 +63,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn an_outage_refuses_both_ways() {
+async fn an_outage_fails_appends_and_reads() {
     let log = log(Options::default());
     log.set_faults(Faults {
         down: true,
@@ -74,10 +74,10 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_read_waits_for_the_first_record_and_no_longer() {
+async fn a_read_waits_until_the_first_record_or_its_timeout() {
     let log = log(Options::default());
     let started = Instant::now();
-    let page = log.read(STREAM, 0, 500).await.expect("it answers");
+    let page = log.read(STREAM, 0, 500).await.expect("the read succeeds");
     assert!(page.records.is_empty());
     assert_eq!(started.elapsed(), Duration::from_millis(500));
     let waiting = tokio::spawn({
@@ -85,7 +85,7 @@
         async move { log.read(STREAM, 0, 10_000).await }
     });
     tokio::task::yield_now().await;
-    append(&log, 7).await.expect("taken");
-    let page = waiting.await.expect("no panic").expect("it answers");
+    append(&log, 7).await.expect("the append succeeds");
+    let page = waiting.await.expect("no panic").expect("the read succeeds");
     assert_eq!(page.records.len(), 1);
 }
