--- a/reachtally-command/src/answer.rs
+++ b/reachtally-command/src/answer.rs
@@ -1,35 +1,35 @@
-//! What an entry box answers to operators.
+//! Responses of an entry box to operators.
 
 use serde::{Deserialize, Serialize};
 
 use crate::Table;
 
-/// What a change of the configuration came to.
+/// The result of a configuration change.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Published {
-    /// The operation's identity.
+    /// The id of the operation.
     pub operation: String,
-    /// Objects changed; nothing was published where this is 0.
+    /// Number of changed objects. If it is 0, nothing was published.
     pub changes: usize,
-    /// The record's offset in the configuration stream.
+    /// Offset of the published record in the configuration stream.
     pub offset: Option<u64>,
-    /// Whether the entry box has folded it.
+    /// Whether the entry box has applied the record.
     pub folded: bool,
 }
 
-/// The answer to a command.
+/// The response to a command.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum CommandAnswer {
-    /// A table.
+    /// The result of a query.
     Table(Table),
-    /// A change of the configuration.
+    /// The result of a configuration change.
     Published(Published),
 }
 
-/// What went wrong.
+/// The response to a request that failed.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Problem {
-    /// A sentence, or several lines that point at a word.
+    /// The error message: a sentence, or several lines that mark a position in the command.
     pub message: String,
 }
--- a/reachtally-command/src/lib.rs
+++ b/reachtally-command/src/lib.rs
@@ -1,4 +1,4 @@
-//! The operators' query and command language: parse, check, render.
+//! The operators' query and command language: its parser, and the responses to commands.
 #![forbid(unsafe_code)]
 #![deny(missing_docs)]
 
--- a/reachtally-command/src/parse.rs
+++ b/reachtally-command/src/parse.rs
@@ -1,28 +1,28 @@
-//! Commands and their parser.
+//! Commands, their parser and its errors.
 
 use winnow::ascii::{multispace0, multispace1};
 use winnow::combinator::preceded;
 use winnow::prelude::*;
 use winnow::token::take_while;
 
-/// What a query shows.
+/// The subject of a query.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Subject {
     /// Engines and service instances.
     Targets,
-    /// Boxes of the live list.
+    /// Boxes on the live list.
     Boxes,
     /// Models.
     Models,
     /// Client accounts.
     Accounts,
-    /// Requests that ended lately.
+    /// Recently completed requests.
     Requests,
-    /// Failure domains: lease, steward, confirmed configuration.
+    /// Failure domains with their lease, steward and confirmed configuration.
     Domains,
-    /// Daemons of this failure domain.
+    /// Daemons in this failure domain.
     Members,
-    /// The configuration's offset and the counters.
+    /// The configuration offset and the counters.
     Config,
 }
 
@@ -37,16 +37,16 @@
     ("config", Subject::Config),
 ];
 
-/// One command.
+/// A parsed command.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Command {
-    /// Show a table.
+    /// Shows a table of the subject.
     Show(Subject),
-    /// Give a target no new work.
+    /// Stops sending new work to a target.
     Drain(String),
-    /// Give a drained target work again.
+    /// Resumes sending work to a drained target.
     Undrain(String),
-    /// Drain a target and stop it once nothing runs there.
+    /// Drains a target and stops it once it has no running work.
     Stop(String),
 }
 
@@ -64,14 +64,14 @@
     }
 }
 
-/// A command that does not parse.
+/// A syntax error in a command.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Error {
-    /// The text.
+    /// The text of the command.
     pub text: String,
-    /// Where in the text the word begins that does not fit, in bytes.
-    pub at: usize,
-    /// What was expected there.
+    /// Byte offset of the unexpected word in the text.
+    pub offset: usize,
+    /// What was expected at this offset.
     pub expected: String,
 }
 
@@ -79,7 +79,7 @@
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         let column = self
             .text
-            .get(..self.at)
+            .get(..self.offset)
             .map_or(0, |before| before.chars().count());
         writeln!(f, "{}", self.text)?;
         write!(f, "{}^ expected {}", " ".repeat(column), self.expected)
@@ -88,62 +88,62 @@
 
 impl std::error::Error for Error {}
 
-fn word<'i>(input: &mut &'i str) -> ModalResult<&'i str> {
-    preceded(multispace0, take_while(1.., is_word)).parse_next(input)
+fn parse_word<'i>(input: &mut &'i str) -> ModalResult<&'i str> {
+    preceded(multispace0, take_while(1.., is_word_char)).parse_next(input)
 }
 
-fn is_word(c: char) -> bool {
+fn is_word_char(c: char) -> bool {
     c.is_alphanumeric() || matches!(c, '-' | '_' | '.' | '#')
 }
 
-/// Parse one command.
+/// Parses a command.
 ///
 /// # Errors
-/// [`Error`] at the first word that does not fit.
+/// [`Error`] at the first unexpected word.
 pub fn parse(text: &str) -> Result<Command, Error> {
     let mut rest = text;
-    let verb_at = skip_space(text, &mut rest);
-    let verb = word(&mut rest).unwrap_or_default();
-    let operand_at = skip_space(text, &mut rest);
+    let verb_offset = skip_whitespace(text, &mut rest);
+    let verb = parse_word(&mut rest).unwrap_or_default();
+    let operand_offset = skip_whitespace(text, &mut rest);
     let command = match verb {
-        "show" => subject(text, operand_at, &mut rest).map(Command::Show),
-        "drain" => name(text, operand_at, &mut rest).map(Command::Drain),
-        "undrain" => name(text, operand_at, &mut rest).map(Command::Undrain),
-        "stop" => name(text, operand_at, &mut rest).map(Command::Stop),
-        _ => Err(error(text, verb_at, "show, drain, undrain or stop")),
+        "show" => parse_subject(text, operand_offset, &mut rest).map(Command::Show),
+        "drain" => parse_target_name(text, operand_offset, &mut rest).map(Command::Drain),
+        "undrain" => parse_target_name(text, operand_offset, &mut rest).map(Command::Undrain),
+        "stop" => parse_target_name(text, operand_offset, &mut rest).map(Command::Stop),
+        _ => Err(error_at(text, verb_offset, "show, drain, undrain or stop")),
     }?;
-    let end = skip_space(text, &mut rest);
+    let end = skip_whitespace(text, &mut rest);
     if rest.is_empty() {
         Ok(command)
     } else {
-        Err(error(text, end, "the end of the command"))
+        Err(error_at(text, end, "the end of the command"))
     }
 }
 
-fn skip_space(text: &str, rest: &mut &str) -> usize {
-    // No space at all is fine too; the position is the same.
+fn skip_whitespace(text: &str, rest: &mut &str) -> usize {
+    // Whitespace is optional here; without it the offset stays the same.
     let _: ModalResult<&str> = multispace1.parse_next(rest);
     text.len() - rest.len()
 }
 
-fn subject(text: &str, at: usize, rest: &mut &str) -> Result<Subject, Error> {
-    let found = word(rest).unwrap_or_default();
+fn parse_subject(text: &str, offset: usize, rest: &mut &str) -> Result<Subject, Error> {
+    let found = parse_word(rest).unwrap_or_default();
     let subject = SUBJECTS.iter().find(|(word, _)| *word == found);
     subject.map(|(_, subject)| *subject).ok_or_else(|| {
         let words: Vec<&str> = SUBJECTS.iter().map(|(word, _)| *word).collect();
-        error(text, at, &format!("one of {}", words.join(", ")))
+        error_at(text, offset, &format!("one of {}", words.join(", ")))
     })
 }
 
-fn name(text: &str, at: usize, rest: &mut &str) -> Result<String, Error> {
-    let found = word(rest).map_err(|_| error(text, at, "the name of a target"))?;
+fn parse_target_name(text: &str, offset: usize, rest: &mut &str) -> Result<String, Error> {
+    let found = parse_word(rest).map_err(|_| error_at(text, offset, "the name of a target"))?;
     Ok(found.to_owned())
 }
 
-fn error(text: &str, at: usize, expected: &str) -> Error {
+fn error_at(text: &str, offset: usize, expected: &str) -> Error {
     Error {
         text: text.to_owned(),
-        at,
+        offset,
         expected: expected.to_owned(),
     }
 }
--- a/reachtally-command/src/table.rs
+++ b/reachtally-command/src/table.rs
@@ -1,18 +1,18 @@
-//! Tables as queries yield them.
+//! Tables returned by queries.
 
 use serde::{Deserialize, Serialize};
 
 /// Rows of cells under column names.
 #[derive(Debug, Clone, PartialEq, Eq, Default, Serialize, Deserialize)]
 pub struct Table {
-    /// Column names.
+    /// The column names.
     pub columns: Vec<String>,
-    /// Rows, each with a cell for each column.
+    /// The rows, each with one cell per column.
     pub rows: Vec<Vec<String>>,
 }
 
 impl Table {
-    /// An empty table with these columns.
+    /// Creates an empty table with these columns.
     pub fn new(columns: &[&str]) -> Self {
         Table {
             columns: columns.iter().map(|&column| column.to_owned()).collect(),
@@ -20,7 +20,7 @@
         }
     }
 
-    /// Add a row.
+    /// Appends a row.
     pub fn push(&mut self, row: Vec<String>) {
         self.rows.push(row);
     }
--- a/reachtally-command/tests/command/main.rs
+++ b/reachtally-command/tests/command/main.rs
@@ -1,9 +1,9 @@
-//! Tests of the operators' language.
+//! Tests of the operators' query and command language.
 
 use reachtally_command::{Command, Subject, Table, parse};
 
 #[test]
-fn commands_parse_and_print_back() {
+fn commands_round_trip_through_text() {
     for text in [
         "show targets",
         "show boxes",
@@ -11,7 +11,7 @@
         "drain e1",
         "undrain parts#0",
     ] {
-        let command = parse(text).expect("the command is good");
+        let command = parse(text).expect("the command is valid");
         assert_eq!(command.to_string(), text);
     }
     assert_eq!(
@@ -21,13 +21,13 @@
 }
 
 #[test]
-fn errors_point_at_the_word() {
-    let at = |text| parse(text).expect_err("the command is bad").at;
-    assert_eq!(at("shew targets"), 0);
-    assert_eq!(at("show tarkets"), 5);
-    assert_eq!(at("drain"), 5);
-    assert_eq!(at("drain e1 now"), 9);
-    let error = parse("show tarkets").expect_err("the command is bad");
+fn errors_give_the_offset_of_the_unexpected_word() {
+    let offset = |text| parse(text).expect_err("the command is invalid").offset;
+    assert_eq!(offset("shew targets"), 0);
+    assert_eq!(offset("show tarkets"), 5);
+    assert_eq!(offset("drain"), 5);
+    assert_eq!(offset("drain e1 now"), 9);
+    let error = parse("show tarkets").expect_err("the command is invalid");
     assert!(
         error
             .to_string()
@@ -36,7 +36,7 @@
 }
 
 #[test]
-fn a_table_lines_up_its_columns() {
+fn table_columns_are_aligned() {
     let mut table = Table::new(&["name", "state"]);
     table.push(vec!["engine-1".into(), "up".into()]);
     assert_eq!(table.to_string(), "name      state\nengine-1  up\n");
--- a/reachtally-listen/src/lib.rs
+++ b/reachtally-listen/src/lib.rs
@@ -1,7 +1,7 @@
-//! Starting and stopping an HTTP listener.
+//! Starts and stops HTTP listeners.
 //!
-//! Rocket's own signal handling and shutdown grace period are off: the program above decides when a
-//! listener stops, and finishes its streams before it does.
+//! Rocket's signal handling is disabled, and on shutdown it waits no longer than [`Options::grace_s`]: the
+//! calling program decides when a listener stops, and finishes its streams first.
 #![forbid(unsafe_code)]
 #![deny(missing_docs)]
 
@@ -14,22 +14,22 @@
 use tokio::sync::oneshot;
 use tokio::task::JoinHandle;
 
-/// Seconds an idle connection is kept for its next request.
+/// How long an idle connection is kept open, in seconds.
 const KEEP_ALIVE_S: u32 = 75;
 
-/// Where to listen.
+/// The address to listen on, and how to shut down.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Options {
-    /// The address.
+    /// The IP address to bind.
     pub ip: IpAddr,
-    /// The port, 0 for any free one.
+    /// The port to bind; 0 selects a free port.
     pub port: u16,
-    /// Seconds that a stop waits for answers to be written out before it closes connections.
+    /// How long a shutdown waits for responses to be written before it closes connections, in seconds.
     pub grace_s: u32,
 }
 
 impl Options {
-    /// Listen on `address`, closing connections at once on a stop.
+    /// Options to listen on `address` and to close connections immediately on shutdown.
     pub fn at(address: SocketAddr) -> Self {
         Options {
             ip: address.ip(),
@@ -38,23 +38,23 @@
         }
     }
 
-    /// Listen on any free port of the loopback address.
+    /// Options to listen on a free port of the loopback address.
     pub fn loopback() -> Self {
         Options::at(SocketAddr::from(([127, 0, 0, 1], 0)))
     }
 }
 
-/// Why a listener did not start.
+/// An error that prevented a listener from starting.
 #[derive(Debug)]
 pub enum Error {
     /// The address could not be bound.
     Bind {
-        /// The address asked for.
+        /// The requested address.
         address: SocketAddr,
-        /// The system's reason.
+        /// The error of the operating system.
         cause: std::io::Error,
     },
-    /// Anything else, such as two routes that collide.
+    /// Any other error, such as colliding routes.
     Launch(String),
 }
 
@@ -72,31 +72,31 @@
 /// A running listener.
 #[derive(Debug)]
 pub struct Listener {
-    /// The address bound.
+    /// The bound address.
     pub address: SocketAddr,
     shutdown: Shutdown,
     task: JoinHandle<()>,
 }
 
 impl Listener {
-    /// The base address of its routes.
+    /// Returns the base URL of the routes.
     pub fn url(&self) -> String {
         format!("http://{}", self.address)
     }
 
-    /// Close the port and every connection, streams in flight included.
+    /// Closes the port and all connections, including streams in flight.
     pub async fn stop(self) {
         self.shutdown.notify();
-        // An error here means that the listener's task panicked; it is gone all the same.
+        // An error means that the listener's task panicked; it has ended in either case.
         self.task.await.ok();
     }
 
-    /// Wait until the listener stops by itself.
+    /// Waits until the listener stops without being asked to.
     pub async fn stopped(self) {
         self.task.await.ok();
     }
 
-    /// A handle that closes the listener from elsewhere.
+    /// Returns a handle that shuts the listener down from another task.
     pub fn closer(&self) -> Shutdown {
         self.shutdown.clone()
     }
@@ -121,29 +121,32 @@
     }
 }
 
-/// Start listening with the routes and state that `build` adds.
+/// Starts a listener with the routes and state that `build` adds.
 ///
 /// # Errors
-/// [`Error::Bind`] if the port is in use, [`Error::Launch`] if Rocket refuses the routes.
+/// [`Error::Bind`] if the address can't be bound, [`Error::Launch`] if Rocket fails to launch, for example
+/// because routes collide.
 pub async fn start<F>(options: Options, build: F) -> Result<Listener, Error>
 where
     F: FnOnce(Rocket<Build>) -> Rocket<Build>,
 {
-    let (tx, rx) = oneshot::channel();
-    let report = AdHoc::on_liftoff("report the port", move |rocket| {
+    let (started_tx, started_rx) = oneshot::channel();
+    let report_start = AdHoc::on_liftoff("report the port", move |rocket| {
         Box::pin(async move {
-            // The receiver waits below; if it is gone nobody needs the port.
-            tx.send((rocket.config().port, rocket.shutdown())).ok();
+            // Fails only if the caller has dropped its future and no longer needs the port.
+            started_tx
+                .send((rocket.config().port, rocket.shutdown()))
+                .ok();
         })
     });
-    let rocket = build(rocket::custom(config(options))).attach(report);
+    let rocket = build(rocket::custom(config(options))).attach(report_start);
     let (err_tx, err_rx) = oneshot::channel();
     let task = tokio::spawn(async move {
         if let Err(err) = rocket.launch().await {
-            err_tx.send(classify(&err, options)).ok();
+            err_tx.send(launch_error(&err, options)).ok();
         }
     });
-    match rx.await {
+    match started_rx.await {
         Ok((port, shutdown)) => Ok(Listener {
             address: SocketAddr::new(options.ip, port),
             shutdown,
@@ -151,17 +154,17 @@
         }),
         Err(_) => Err(err_rx
             .await
-            .unwrap_or_else(|_| Error::Launch("stopped before it started".into()))),
+            .unwrap_or_else(|_| Error::Launch("the listener stopped before it was ready".into()))),
     }
 }
 
-fn classify(err: &rocket::Error, options: Options) -> Error {
+fn launch_error(err: &rocket::Error, options: Options) -> Error {
     match err.kind() {
         ErrorKind::Bind(cause) => Error::Bind {
             address: SocketAddr::new(options.ip, options.port),
             cause: std::io::Error::new(cause.kind(), cause.to_string()),
         },
-        // Printing marks the error as seen; Rocket panics on one that is dropped unseen.
+        // Formatting marks the error as handled; Rocket panics when an unhandled error is dropped.
         other => Error::Launch(other.to_string()),
     }
 }
--- a/reachtally/src/client.rs
+++ b/reachtally/src/client.rs
@@ -1,4 +1,4 @@
-//! Calls to an entry box's listener for operators.
+//! Client for the operators' API of an entry box.
 
 use std::process::ExitCode;
 use std::time::Duration;
@@ -8,43 +8,43 @@
 use reqwest::{RequestBuilder, StatusCode};
 use serde::de::DeserializeOwned;
 
-/// Time for a call; a publication waits for the log and its fold.
+/// Timeout of a call. Publishing waits until the log has accepted the record and the entry box has applied it.
 const TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Why a call failed. Each kind has an exit code of its own.
+/// An error of the command-line tool. Each variant has its own exit code.
 #[derive(Debug)]
-pub enum Failure {
-    /// The command line, a file or the command is bad; nothing was sent.
+pub enum CliError {
+    /// The command line, a file or the command is invalid; nothing was sent.
     Usage(String),
     /// The entry box can't be reached.
     Unreachable(String),
-    /// The entry box refused.
+    /// The entry box refused the call.
     Refused(String),
 }
 
-impl Failure {
-    /// 2 for usage, 3 for an entry box that can't be reached, 4 for one that refused.
+impl CliError {
+    /// Returns 2 for a usage error, 3 if the entry box can't be reached and 4 if it refused the call.
     pub fn exit_code(&self) -> ExitCode {
         ExitCode::from(match self {
-            Failure::Usage(_) => 2,
-            Failure::Unreachable(_) => 3,
-            Failure::Refused(_) => 4,
+            CliError::Usage(_) => 2,
+            CliError::Unreachable(_) => 3,
+            CliError::Refused(_) => 4,
         })
     }
 }
 
-impl std::fmt::Display for Failure {
+impl std::fmt::Display for CliError {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         match self {
-            Failure::Usage(message) | Failure::Refused(message) => f.write_str(message),
-            Failure::Unreachable(message) => write!(f, "can't reach the entry box: {message}"),
+            CliError::Usage(message) | CliError::Refused(message) => f.write_str(message),
+            CliError::Unreachable(message) => write!(f, "can't reach the entry box: {message}"),
         }
     }
 }
 
-impl std::error::Error for Failure {}
+impl std::error::Error for CliError {}
 
-/// An entry box.
+/// A client for one entry box.
 pub struct Client {
     http: reqwest::Client,
     url: String,
@@ -52,7 +52,7 @@
 }
 
 impl Client {
-    /// The entry box whose operators' listener is at `url`.
+    /// Creates a client for the entry box whose operators' listener is at `url`.
     pub fn new(url: String, key: String) -> Self {
         Client {
             http: reqwest::Client::new(),
@@ -61,38 +61,38 @@
         }
     }
 
-    /// Run a command.
-    pub async fn command(&self, command: &str) -> Result<CommandAnswer, Failure> {
+    /// Runs a command.
+    pub async fn command(&self, command: &str) -> Result<CommandAnswer, CliError> {
         let url = format!("{}/v1/commands", self.url);
         self.call(self.http.post(url).body(command.to_owned()))
             .await
     }
 
-    /// Publish declarations.
-    pub async fn apply(&self, objects: &[Object]) -> Result<Published, Failure> {
+    /// Publishes declarations.
+    pub async fn apply(&self, objects: &[Object]) -> Result<Published, CliError> {
         let url = format!("{}/v1/apply", self.url);
         self.call(self.http.post(url).json(objects)).await
     }
 
-    async fn call<T: DeserializeOwned>(&self, req: RequestBuilder) -> Result<T, Failure> {
+    async fn call<T: DeserializeOwned>(&self, req: RequestBuilder) -> Result<T, CliError> {
         let req = req.bearer_auth(&self.key).timeout(TIMEOUT);
         let response = req
             .send()
             .await
-            .map_err(|err| Failure::Unreachable(err.to_string()))?;
+            .map_err(|err| CliError::Unreachable(err.to_string()))?;
         let status = response.status();
         if status == StatusCode::UNAUTHORIZED {
             let message = "the key belongs to no operator; give --key or REACHTALLY_KEY";
-            return Err(Failure::Refused(message.to_owned()));
+            return Err(CliError::Refused(message.to_owned()));
         }
         if !status.is_success() {
-            let problem = response.json::<Problem>().await;
-            let message = problem.map_or_else(|_| status.to_string(), |problem| problem.message);
-            return Err(Failure::Refused(message));
+            let error = response.json::<Problem>().await;
+            let message = error.map_or_else(|_| status.to_string(), |error| error.message);
+            return Err(CliError::Refused(message));
         }
         response
             .json()
             .await
-            .map_err(|err| Failure::Unreachable(err.to_string()))
+            .map_err(|err| CliError::Unreachable(err.to_string()))
     }
 }
--- a/reachtally/src/main.rs
+++ b/reachtally/src/main.rs
@@ -1,4 +1,4 @@
-//! `reachtally`: the operators' command-line tool.
+//! The operators' command-line tool `reachtally`.
 
 mod client;
 
@@ -9,13 +9,13 @@
 use reachtally_command::{CommandAnswer, Published};
 use reachtally_config::{declarations, keys};
 
-use crate::client::{Client, Failure};
+use crate::client::{CliError, Client};
 
-/// The operators' tool of reachtally.
+/// The operators' command-line tool of reachtally.
 #[derive(Debug, Clone, Bpaf)]
 #[bpaf(options, version)]
 struct Arguments {
-    /// An entry box's listener for operators
+    /// URL of an entry box's listener for operators
     #[bpaf(argument("URL"), fallback("http://127.0.0.1:7071".to_owned()))]
     operators: String,
     /// The operator's key
@@ -26,7 +26,7 @@
         hide_usage
     )]
     key: String,
-    /// Print answers as JSON
+    /// Print responses as JSON
     json: bool,
     #[bpaf(external)]
     action: Action,
@@ -48,17 +48,17 @@
         #[bpaf(positional("KEY"))]
         plain: String,
     },
-    /// Follow one request through logs on standard input, of one box or of several
+    /// Trace one request through the logs of one or more boxes, read from standard input
     #[bpaf(command)]
     Explain {
-        /// The caller's id of the request
+        /// The request id given by the caller
         #[bpaf(positional("ID"))]
         id: String,
     },
-    /// Count what requests that were not served in time were lost to, in logs on standard input
+    /// Count requests that were not served in time by cause, from logs on standard input
     #[bpaf(command)]
     Losses,
-    /// Show the engines that more requests came to than they had room for, in logs on standard input
+    /// Show engines that received more requests than they had capacity for, from logs on standard input
     #[bpaf(command)]
     Crowding,
     /// Run a query or command, such as "show targets"
@@ -83,7 +83,7 @@
     }
 }
 
-async fn execute(arguments: Arguments) -> Result<String, Failure> {
+async fn execute(arguments: Arguments) -> Result<String, CliError> {
     let json = arguments.json;
     let client = Client::new(arguments.operators, arguments.key);
     match arguments.action {
@@ -91,37 +91,37 @@
         Action::Apply { file } => {
             let name = file.display().to_string();
             let text = std::fs::read_to_string(&file)
-                .map_err(|err| Failure::Usage(format!("can't read {name}: {err}")))?;
+                .map_err(|err| CliError::Usage(format!("can't read {name}: {err}")))?;
             let objects = declarations::parse(&name, &text)
-                .map_err(|findings| Failure::Usage(format!("bad declarations\n{findings}")))?;
+                .map_err(|findings| CliError::Usage(format!("bad declarations\n{findings}")))?;
             let published = client.apply(&objects).await?;
             render(json, &CommandAnswer::Published(published))
         }
         Action::Explain { id } => {
             let log = read_log()?;
             reachtally_journal::explain(log.lines(), &id)
-                .map_err(|err| Failure::Usage(err.to_string()))
+                .map_err(|err| CliError::Usage(err.to_string()))
         }
         Action::Losses => Ok(reachtally_journal::losses(read_log()?.lines()).to_string()),
         Action::Crowding => Ok(reachtally_journal::crowding(read_log()?.lines()).to_string()),
         Action::Run { command } => {
             reachtally_command::parse(&command)
-                .map_err(|err| Failure::Usage(format!("bad command\n{err}")))?;
+                .map_err(|err| CliError::Usage(format!("bad command\n{err}")))?;
             let answer = client.command(&command).await?;
             render(json, &answer)
         }
     }
 }
 
-fn read_log() -> Result<String, Failure> {
+fn read_log() -> Result<String, CliError> {
     std::io::read_to_string(std::io::stdin())
-        .map_err(|err| Failure::Usage(format!("can't read the log: {err}")))
+        .map_err(|err| CliError::Usage(format!("can't read the log: {err}")))
 }
 
-fn render(json: bool, answer: &CommandAnswer) -> Result<String, Failure> {
+fn render(json: bool, answer: &CommandAnswer) -> Result<String, CliError> {
     if json {
         let text = serde_json::to_string_pretty(answer);
-        let text = text.map_err(|err| Failure::Usage(err.to_string()))?;
+        let text = text.map_err(|err| CliError::Usage(err.to_string()))?;
         return Ok(format!("{text}\n"));
     }
     Ok(match answer {
--- a/reachtally/tests/reachtally/main.rs
+++ b/reachtally/tests/reachtally/main.rs
@@ -1,9 +1,9 @@
-//! The operators' tool as its users meet it: output and exit codes.
+//! Tests of the output and exit codes of the operators' command-line tool.
 
 use std::process::{Command, Output};
 
-/// Nobody listens there: the port is reserved, and needs rights to be bound.
-const NOBODY: &str = "http://127.0.0.1:1";
+/// No process listens here: port 1 is reserved, and binding it needs privileges.
+const UNREACHABLE_URL: &str = "http://127.0.0.1:1";
 
 fn run(arguments: &[&str]) -> Output {
     let mut command = Command::new(env!("CARGO_BIN_EXE_reachtally"));
@@ -16,7 +16,7 @@
 }
 
 #[test]
-fn a_key_is_hashed_as_settings_store_it() {
+fn hash_key_prints_the_hash_used_in_settings() {
     let output = run(&["hash-key", "demo"]);
     assert!(output.status.success());
     let expected = "2a97516c354b68848cdbd8f54a226a0a55b21ed138e207ad6c5cbb9c00aa5aea\n";
@@ -24,8 +24,8 @@
 }
 
 #[test]
-fn a_bad_command_points_at_the_word_and_sends_nothing() {
-    let output = run(&["--operators", NOBODY, "show tarkets"]);
+fn an_invalid_command_marks_the_unexpected_word_and_sends_nothing() {
+    let output = run(&["--operators", UNREACHABLE_URL, "show tarkets"]);
     assert_eq!(output.status.code(), Some(2));
     let message = text(&output.stderr);
     assert!(
@@ -35,19 +35,19 @@
 }
 
 #[test]
-fn an_entry_box_that_can_not_be_reached_has_an_exit_code_of_its_own() {
-    let output = run(&["--operators", NOBODY, "show targets"]);
+fn an_unreachable_entry_box_has_its_own_exit_code() {
+    let output = run(&["--operators", UNREACHABLE_URL, "show targets"]);
     assert_eq!(output.status.code(), Some(3));
     assert!(text(&output.stderr).contains("can't reach the entry box"));
 }
 
 #[test]
-fn bad_declarations_list_every_finding() {
+fn invalid_declarations_list_every_finding() {
     let file = std::env::temp_dir().join(format!("reachtally-bad-{}.yaml", std::process::id()));
     std::fs::write(&file, "models:\n  - {name: m, layers: 0}\ncolour: red\n")
-        .expect("it is written");
+        .expect("the file is written");
     let output = run(&["apply", &file.display().to_string()]);
-    std::fs::remove_file(&file).expect("it is there");
+    std::fs::remove_file(&file).expect("the file exists");
     assert_eq!(output.status.code(), Some(2));
     let message = text(&output.stderr);
     assert!(message.contains(":2:23: models[0].layers"), "{message}");
