--- a/reachtally-config/src/declarations.rs
+++ b/reachtally-config/src/declarations.rs
@@ -1,147 +1,149 @@
-//! Declared objects from YAML: models, engines, services, accounts.
+//! Parses the declared objects in a YAML file: models, adapters, engines, services and accounts.
 
 use std::collections::BTreeSet;
 
 use reachtally_core::declare::{Account, Adapter, Engine, Kind, Layers, Model, Object, Service};
 
 use crate::finding::Findings;
-use crate::reader::{At, Reader};
-use crate::settings::key_hash;
+use crate::reader::{Node, Reader};
+use crate::settings::read_key_hash;
 
-/// Most layers a model may have.
+/// Maximum number of layers of a model.
 const LAYERS_MAX: u64 = 4096;
-/// Most requests an engine may hold or an account may run.
+/// Maximum number of requests that an engine may hold or an account may run concurrently.
 const RUNNING_MAX: u64 = 1 << 20;
 
-/// The highest priority an account may have.
+/// Maximum priority of an account.
 const PRIORITY_MAX: u64 = 9;
 
-/// Read the objects declared in `text`, the content of `file`. Names are checked to be unique within
-/// their kind, and layer ranges to fit their model.
+/// Parses the objects declared in `text`, the content of `file`. Checks that names are unique within their
+/// kind, that layer ranges fit their model and that they cover it without gaps.
 ///
 /// # Errors
-/// All findings with their places.
+/// All findings with their positions.
 pub fn parse(file: &str, text: &str) -> Result<Vec<Object>, Findings> {
     let mut reader = Reader::new(file);
-    let Some(document) = reader.load(text) else {
-        return reader.finish(None);
+    let Some(document) = reader.parse_document(text) else {
+        return reader.into_result(None);
     };
-    let top = At::top(&document);
-    if !reader.fields(
-        &top,
+    let root = Node::root(&document);
+    if !reader.check_fields(
+        &root,
         &["models", "adapters", "engines", "services", "accounts"],
     ) {
-        return reader.finish(None);
+        return reader.into_result(None);
     }
     let mut objects = Vec::new();
     let mut names = BTreeSet::new();
-    let mut chains = Chains::default();
-    each(&mut reader, &top, "models", |reader, at| {
-        unique(reader, at, Kind::Model, &mut names);
-        let model = read_model(reader, at)?;
+    let mut coverage = LayerCoverage::default();
+    for_each_item(&mut reader, &root, "models", |reader, node| {
+        check_unique(reader, node, Kind::Model, &mut names);
+        let model = read_model(reader, node)?;
         objects.push(Object::Model(model));
         Some(())
     });
-    each(&mut reader, &top, "adapters", |reader, at| {
-        unique(reader, at, Kind::Adapter, &mut names);
-        let adapter = read_adapter(reader, at)?;
+    for_each_item(&mut reader, &root, "adapters", |reader, node| {
+        check_unique(reader, node, Kind::Adapter, &mut names);
+        let adapter = read_adapter(reader, node)?;
         if find_model(&objects, &adapter.model).is_none() {
-            report_no_model(reader, at, &adapter.model);
+            report_unknown_model(reader, node, &adapter.model);
         }
         objects.push(Object::Adapter(adapter));
         Some(())
     });
-    each(&mut reader, &top, "engines", |reader, at| {
-        unique(reader, at, Kind::Engine, &mut names);
-        let engine = read_engine(reader, at)?;
-        chains.add(reader, at, &engine, &objects);
+    for_each_item(&mut reader, &root, "engines", |reader, node| {
+        check_unique(reader, node, Kind::Engine, &mut names);
+        let engine = read_engine(reader, node)?;
+        coverage.add(reader, node, &engine, &objects);
         objects.push(Object::Engine(engine));
         Some(())
     });
-    each(&mut reader, &top, "services", |reader, at| {
-        unique(reader, at, Kind::Service, &mut names);
-        let service = read_service(reader, at)?;
+    for_each_item(&mut reader, &root, "services", |reader, node| {
+        check_unique(reader, node, Kind::Service, &mut names);
+        let service = read_service(reader, node)?;
         objects.push(Object::Service(service));
         Some(())
     });
-    each(&mut reader, &top, "accounts", |reader, at| {
-        unique(reader, at, Kind::Account, &mut names);
-        let account = read_account(reader, at)?;
+    for_each_item(&mut reader, &root, "accounts", |reader, node| {
+        check_unique(reader, node, Kind::Account, &mut names);
+        let account = read_account(reader, node)?;
         objects.push(Object::Account(account));
         Some(())
     });
-    // A range that could not be read would show as a gap that isn't there.
-    if reader.is_clean() {
-        chains.check(&mut reader, &top, &objects);
+    // A range that failed to parse would be reported as a gap as well, so coverage is only checked without findings.
+    if reader.has_no_findings() {
+        coverage.check(&mut reader, &root, &objects);
     }
-    reader.finish(Some(objects))
+    reader.into_result(Some(objects))
 }
 
-fn each<F>(reader: &mut Reader<'_>, top: &At<'_, '_>, name: &str, mut read: F)
+fn for_each_item<F>(reader: &mut Reader<'_>, root: &Node<'_, '_>, name: &str, mut read: F)
 where
-    F: FnMut(&mut Reader<'_>, &At<'_, '_>) -> Option<()>,
+    F: FnMut(&mut Reader<'_>, &Node<'_, '_>) -> Option<()>,
 {
-    let Some(at) = top.get(name) else {
+    let Some(node) = root.get(name) else {
         return;
     };
-    for item in reader.items(&at) {
+    for item in reader.sequence(&node) {
         read(reader, &item);
     }
 }
 
-fn unique(
+fn check_unique(
     reader: &mut Reader<'_>,
-    at: &At<'_, '_>,
+    node: &Node<'_, '_>,
     kind: Kind,
     names: &mut BTreeSet<(Kind, String)>,
 ) {
-    let Some(name) = at.get("name").and_then(|name| name.as_text()) else {
+    let Some(name) = node.get("name").and_then(|name| name.as_text()) else {
         return;
     };
     if !names.insert((kind, name.to_owned())) {
         let message = format!("the name {name:?} is declared twice");
-        reader.report(at, &message, "give each object a name of its own");
+        reader.report(node, &message, "give each object a name of its own");
     }
 }
 
-fn text(reader: &mut Reader<'_>, at: &At<'_, '_>, name: &str) -> Option<String> {
-    let at = reader.required(at, name)?;
-    reader.text(&at)
+fn read_text(reader: &mut Reader<'_>, node: &Node<'_, '_>, name: &str) -> Option<String> {
+    let node = reader.required(node, name)?;
+    reader.text(&node)
 }
 
-fn number(reader: &mut Reader<'_>, at: &At<'_, '_>, name: &str, most: u64) -> Option<u32> {
-    let at = reader.required(at, name)?;
-    reader.number(&at, 1, most).map(|n| n as u32)
+fn read_number(reader: &mut Reader<'_>, node: &Node<'_, '_>, name: &str, max: u64) -> Option<u32> {
+    let node = reader.required(node, name)?;
+    reader.number(&node, 1, max).map(|n| n as u32)
 }
 
-fn optional_flag(reader: &mut Reader<'_>, at: &At<'_, '_>, name: &str) -> bool {
-    at.get(name)
-        .and_then(|at| reader.flag(&at))
+fn optional_flag(reader: &mut Reader<'_>, node: &Node<'_, '_>, name: &str) -> bool {
+    node.get(name)
+        .and_then(|node| reader.boolean(&node))
         .unwrap_or(false)
 }
 
-fn optional_texts(reader: &mut Reader<'_>, at: &At<'_, '_>, name: &str) -> Vec<String> {
-    at.get(name).map(|at| reader.texts(&at)).unwrap_or_default()
+fn optional_texts(reader: &mut Reader<'_>, node: &Node<'_, '_>, name: &str) -> Vec<String> {
+    node.get(name)
+        .map(|node| reader.texts(&node))
+        .unwrap_or_default()
 }
 
-fn read_model(reader: &mut Reader<'_>, at: &At<'_, '_>) -> Option<Model> {
-    if !reader.fields(at, &["name", "layers"]) {
+fn read_model(reader: &mut Reader<'_>, node: &Node<'_, '_>) -> Option<Model> {
+    if !reader.check_fields(node, &["name", "layers"]) {
         return None;
     }
-    let name = text(reader, at, "name");
-    let layers = number(reader, at, "layers", LAYERS_MAX);
+    let name = read_text(reader, node, "name");
+    let layers = read_number(reader, node, "layers", LAYERS_MAX);
     Some(Model {
         name: name?,
         layers: layers?,
     })
 }
 
-fn read_adapter(reader: &mut Reader<'_>, at: &At<'_, '_>) -> Option<Adapter> {
-    if !reader.fields(at, &["name", "model"]) {
+fn read_adapter(reader: &mut Reader<'_>, node: &Node<'_, '_>) -> Option<Adapter> {
+    if !reader.check_fields(node, &["name", "model"]) {
         return None;
     }
-    let name = text(reader, at, "name");
-    let model = text(reader, at, "model");
+    let name = read_text(reader, node, "name");
+    let model = read_text(reader, node, "model");
     Some(Adapter {
         name: name?,
         model: model?,
@@ -155,9 +157,9 @@
     })
 }
 
-fn report_no_model(reader: &mut Reader<'_>, at: &At<'_, '_>, name: &str) {
+fn report_unknown_model(reader: &mut Reader<'_>, node: &Node<'_, '_>, name: &str) {
     let message = format!("no model {name:?} is declared");
-    reader.report(at, &message, "declare it under models, or name another");
+    reader.report(node, &message, "declare it under models, or name another");
 }
 
 const ENGINE_FIELDS: [&str; 8] = [
@@ -171,20 +173,22 @@
     "checks_fence",
 ];
 
-fn read_engine(reader: &mut Reader<'_>, at: &At<'_, '_>) -> Option<Engine> {
-    if !reader.fields(at, &ENGINE_FIELDS) {
+fn read_engine(reader: &mut Reader<'_>, node: &Node<'_, '_>) -> Option<Engine> {
+    if !reader.check_fields(node, &ENGINE_FIELDS) {
         return None;
     }
-    let name = text(reader, at, "name");
-    let box_name = text(reader, at, "box");
-    let domain = text(reader, at, "domain");
-    let url = reader.required(at, "url").and_then(|at| reader.url(&at));
-    let model = text(reader, at, "model");
+    let name = read_text(reader, node, "name");
+    let box_name = read_text(reader, node, "box");
+    let domain = read_text(reader, node, "domain");
+    let url = reader
+        .required(node, "url")
+        .and_then(|node| reader.url(&node));
+    let model = read_text(reader, node, "model");
     let layers = reader
-        .required(at, "layers")
-        .and_then(|at| range(reader, &at));
-    let slots = number(reader, at, "slots", RUNNING_MAX);
-    let checks_fence = optional_flag(reader, at, "checks_fence");
+        .required(node, "layers")
+        .and_then(|node| read_layers(reader, &node));
+    let slots = read_number(reader, node, "slots", RUNNING_MAX);
+    let checks_fence = optional_flag(reader, node, "checks_fence");
     Some(Engine {
         name: name?,
         box_name: box_name?,
@@ -197,34 +201,34 @@
     })
 }
 
-fn range(reader: &mut Reader<'_>, at: &At<'_, '_>) -> Option<Layers> {
-    let text = reader.text(at)?;
+fn read_layers(reader: &mut Reader<'_>, node: &Node<'_, '_>) -> Option<Layers> {
+    let text = reader.text(node)?;
     let parsed = text.split_once("..").and_then(|(first, end)| {
         let (first, end) = (first.trim().parse().ok()?, end.trim().parse().ok()?);
         (first < end).then_some(Layers { first, end })
     });
     if parsed.is_none() {
         let message = format!("{text:?} is not a range of layers");
-        reader.report(at, &message, "give FIRST..END with FIRST below END");
+        reader.report(node, &message, "give FIRST..END with FIRST below END");
     }
     parsed
 }
 
-fn read_service(reader: &mut Reader<'_>, at: &At<'_, '_>) -> Option<Service> {
-    if !reader.fields(at, &["name", "urls", "repeatable", "deduplicates"]) {
+fn read_service(reader: &mut Reader<'_>, node: &Node<'_, '_>) -> Option<Service> {
+    if !reader.check_fields(node, &["name", "urls", "repeatable", "deduplicates"]) {
         return None;
     }
-    let name = text(reader, at, "name");
-    let urls_at = reader.required(at, "urls")?;
+    let name = read_text(reader, node, "name");
+    let urls_at = reader.required(node, "urls")?;
     let urls: Vec<String> = reader
-        .items(&urls_at)
+        .sequence(&urls_at)
         .iter()
         .filter_map(|item| reader.url(item))
         .collect();
     let repeatable = reader
-        .required(at, "repeatable")
-        .and_then(|at| reader.flag(&at));
-    let deduplicates = optional_flag(reader, at, "deduplicates");
+        .required(node, "repeatable")
+        .and_then(|node| reader.boolean(&node));
+    let deduplicates = optional_flag(reader, node, "deduplicates");
     Some(Service {
         name: name?,
         urls,
@@ -243,25 +247,25 @@
     "priority",
 ];
 
-fn read_account(reader: &mut Reader<'_>, at: &At<'_, '_>) -> Option<Account> {
-    if !reader.fields(at, &ACCOUNT_FIELDS) {
+fn read_account(reader: &mut Reader<'_>, node: &Node<'_, '_>) -> Option<Account> {
+    if !reader.check_fields(node, &ACCOUNT_FIELDS) {
         return None;
     }
-    let name = text(reader, at, "name");
-    let keys_at = reader.required(at, "keys")?;
+    let name = read_text(reader, node, "name");
+    let keys_at = reader.required(node, "keys")?;
     let key_hashes: Vec<String> = reader
-        .items(&keys_at)
+        .sequence(&keys_at)
         .iter()
-        .filter_map(|item| key_hash(reader, item))
+        .filter_map(|item| read_key_hash(reader, item))
         .collect();
-    let models = optional_texts(reader, at, "models");
-    let services = optional_texts(reader, at, "services");
-    let adapters = optional_texts(reader, at, "adapters");
-    let priority = at
+    let models = optional_texts(reader, node, "models");
+    let services = optional_texts(reader, node, "services");
+    let adapters = optional_texts(reader, node, "adapters");
+    let priority = node
         .get("priority")
-        .and_then(|at| reader.number(&at, 0, PRIORITY_MAX))
+        .and_then(|node| reader.number(&node, 0, PRIORITY_MAX))
         .unwrap_or(0) as u32;
-    let max_running = number(reader, at, "max_running", RUNNING_MAX);
+    let max_running = read_number(reader, node, "max_running", RUNNING_MAX);
     Some(Account {
         name: name?,
         key_hashes,
@@ -273,27 +277,33 @@
     })
 }
 
-/// The ranges of each model's engines.
+/// The layer ranges covered by the engines of each model.
 #[derive(Default)]
-struct Chains {
+struct LayerCoverage {
     ranges: Vec<(String, Layers)>,
 }
 
-impl Chains {
-    fn add(&mut self, reader: &mut Reader<'_>, at: &At<'_, '_>, engine: &Engine, known: &[Object]) {
+impl LayerCoverage {
+    fn add(
+        &mut self,
+        reader: &mut Reader<'_>,
+        node: &Node<'_, '_>,
+        engine: &Engine,
+        known: &[Object],
+    ) {
         match find_model(known, &engine.model) {
-            None => report_no_model(reader, at, &engine.model),
+            None => report_unknown_model(reader, node, &engine.model),
             Some(model) if engine.layers.end > model.layers => {
                 let (range, layers) = (engine.layers, model.layers);
                 let message = format!("range {range} goes beyond the model's {layers} layers");
-                reader.report(at, &message, "end the range at the model's last layer");
+                reader.report(node, &message, "end the range at the model's last layer");
             }
             Some(_) => self.ranges.push((engine.model.clone(), engine.layers)),
         }
     }
 
-    /// Report each model whose engines leave a layer uncovered.
-    fn check(&self, reader: &mut Reader<'_>, top: &At<'_, '_>, objects: &[Object]) {
+    /// Reports each model that no chain of engines covers completely.
+    fn check(&self, reader: &mut Reader<'_>, root: &Node<'_, '_>, objects: &[Object]) {
         for object in objects {
             let Object::Model(model) = object else {
                 continue;
@@ -302,24 +312,28 @@
                 let name = &model.name;
                 let message =
                     format!("no chain of engines covers model {name:?} from layer {gap} on");
-                let at = top.get("models").unwrap_or_else(|| top.clone());
-                reader.report(&at, &message, "declare an engine whose range begins there");
+                let node = root.get("models").unwrap_or_else(|| root.clone());
+                reader.report(
+                    &node,
+                    &message,
+                    "declare an engine whose range begins there",
+                );
             }
         }
     }
 
-    /// The first layer that no chain of ranges reaches beyond, if the model's end is not reached.
+    /// Returns the furthest layer that a chain of ranges from layer 0 reaches, if no chain reaches the end of the model.
     fn first_gap(&self, model: &Model) -> Option<u32> {
-        let mut reached = BTreeSet::from([0]);
-        let mut open = vec![0];
-        while let Some(layer) = open.pop() {
+        let mut reachable = BTreeSet::from([0]);
+        let mut pending = vec![0];
+        while let Some(layer) = pending.pop() {
             for (name, range) in &self.ranges {
-                if *name == model.name && range.first == layer && reached.insert(range.end) {
-                    open.push(range.end);
+                if *name == model.name && range.first == layer && reachable.insert(range.end) {
+                    pending.push(range.end);
                 }
             }
         }
-        let furthest = reached.last().copied().unwrap_or(0);
-        (!reached.contains(&model.layers)).then_some(furthest)
+        let gap_start = reachable.last().copied().unwrap_or(0);
+        (!reachable.contains(&model.layers)).then_some(gap_start)
     }
 }
--- a/reachtally-config/src/finding.rs
+++ b/reachtally-config/src/finding.rs
@@ -1,20 +1,20 @@
-//! Findings: what is wrong in a file, where, and how to mend it.
+//! Findings: errors in a file with their location and a hint how to fix them.
 
-/// One thing wrong in a file.
+/// An error in a file.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Finding {
-    /// The file.
+    /// Name of the file.
     pub file: String,
     /// Line, from 1.
     pub line: usize,
     /// Column, from 1.
     pub column: usize,
-    /// The field, as a path from the top, such as `engines[2].layers`.
+    /// Path of the field from the root of the document, such as `engines[2].layers`.
     pub path: String,
     /// What is wrong.
     pub message: String,
-    /// How to mend it.
-    pub mend: String,
+    /// How to fix it.
+    pub help: String,
 }
 
 impl std::fmt::Display for Finding {
@@ -23,11 +23,11 @@
         if !self.path.is_empty() {
             write!(f, "{}: ", self.path)?;
         }
-        write!(f, "{}; {}", self.message, self.mend)
+        write!(f, "{}; {}", self.message, self.help)
     }
 }
 
-/// All findings of a check, in the order of the file.
+/// All findings of a file, in the order of their position.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct Findings(pub Vec<Finding>);
 
--- a/reachtally-config/src/lib.rs
+++ b/reachtally-config/src/lib.rs
@@ -1,7 +1,7 @@
-//! YAML settings of a daemon and declarations of what it serves.
+//! Parses a daemon's YAML settings and the declarations of what it serves.
 //!
-//! A check reads the whole file and reports every finding with file, line, column and the way to
-//! mend it; it never stops at the first.
+//! Parsing checks the whole file and reports every finding with its file, line, column and a hint how to fix
+//! it, instead of stopping at the first.
 #![forbid(unsafe_code)]
 #![deny(missing_docs)]
 
--- a/reachtally-config/src/reader.rs
+++ b/reachtally-config/src/reader.rs
@@ -1,24 +1,24 @@
-//! Reading a YAML tree field by field, collecting findings on the way.
+//! Reads a YAML document field by field and collects findings.
 
 use saphyr::{LoadableYamlNode, MarkedYaml};
 
 use crate::finding::{Finding, Findings};
 
-/// A file under check.
+/// Checks a file and collects its findings.
 pub struct Reader<'f> {
     file: &'f str,
     findings: Vec<Finding>,
 }
 
-/// A node with its path from the top.
+/// A YAML node with its path from the root.
 #[derive(Clone)]
-pub struct At<'a, 'y> {
-    node: &'a MarkedYaml<'y>,
+pub struct Node<'a, 'y> {
+    yaml: &'a MarkedYaml<'y>,
     path: String,
 }
 
 impl<'f> Reader<'f> {
-    /// Start the check of `file`.
+    /// Creates a reader that reports findings in `file`.
     pub fn new(file: &'f str) -> Self {
         Reader {
             file,
@@ -26,8 +26,8 @@
         }
     }
 
-    /// Parse `text`; a finding and nothing if it is not one YAML document.
-    pub fn load<'y>(&mut self, text: &'y str) -> Option<MarkedYaml<'y>> {
+    /// Parses `text`. Reports a finding and returns `None` if it is not exactly one YAML document.
+    pub fn parse_document<'y>(&mut self, text: &'y str) -> Option<MarkedYaml<'y>> {
         match MarkedYaml::load_from_str(text) {
             Ok(mut documents) if documents.len() == 1 => documents.pop(),
             Ok(documents) => {
@@ -43,16 +43,16 @@
         }
     }
 
-    /// Whether nothing was found so far.
-    pub fn is_clean(&self) -> bool {
+    /// Returns whether there are no findings so far.
+    pub fn has_no_findings(&self) -> bool {
         self.findings.is_empty()
     }
 
-    /// End the check.
+    /// Returns `value` if there are no findings.
     ///
     /// # Errors
-    /// All findings, in the order of the file.
-    pub fn finish<T>(mut self, value: Option<T>) -> Result<T, Findings> {
+    /// All findings, in the order of their position.
+    pub fn into_result<T>(mut self, value: Option<T>) -> Result<T, Findings> {
         self.findings
             .sort_by_key(|finding| (finding.line, finding.column));
         match value {
@@ -61,28 +61,29 @@
         }
     }
 
-    /// Report a finding at a node.
-    pub fn report(&mut self, at: &At<'_, '_>, message: &str, mend: &str) {
-        let start = at.node.span.start;
-        self.report_at(start.line(), start.col() + 1, &at.path, message, mend);
+    /// Reports a finding at a node.
+    pub fn report(&mut self, node: &Node<'_, '_>, message: &str, help: &str) {
+        let start = node.yaml.span.start;
+        self.report_at(start.line(), start.col() + 1, &node.path, message, help);
     }
 
-    fn report_at(&mut self, line: usize, column: usize, path: &str, message: &str, mend: &str) {
+    fn report_at(&mut self, line: usize, column: usize, path: &str, message: &str, help: &str) {
         self.findings.push(Finding {
             file: self.file.to_owned(),
             line,
             column,
             path: path.to_owned(),
             message: message.to_owned(),
-            mend: mend.to_owned(),
+            help: help.to_owned(),
         });
     }
 
-    /// Check that `at` is a mapping with no other than the `known` fields.
-    pub fn fields(&mut self, at: &At<'_, '_>, known: &[&str]) -> bool {
-        let Some(mapping) = at.node.data.as_mapping() else {
-            let mend = format!("give a mapping with {}", known.join(", "));
-            self.report(at, "not a mapping", &mend);
+    /// Checks that `node` is a mapping, and reports fields that are not in `known`. Returns whether it is a
+    /// mapping.
+    pub fn check_fields(&mut self, node: &Node<'_, '_>, known: &[&str]) -> bool {
+        let Some(mapping) = node.yaml.data.as_mapping() else {
+            let help = format!("give a mapping with {}", known.join(", "));
+            self.report(node, "not a mapping", &help);
             return false;
         };
         for key in mapping.keys() {
@@ -90,128 +91,128 @@
             if known.contains(&name) {
                 continue;
             }
-            let key = At {
-                node: key,
-                path: at.join(name),
+            let key = Node {
+                yaml: key,
+                path: node.join(name),
             };
-            let mend = format!("remove it, or use one of {}", known.join(", "));
-            self.report(&key, "unknown field", &mend);
+            let help = format!("remove it, or use one of {}", known.join(", "));
+            self.report(&key, "unknown field", &help);
         }
         true
     }
 
-    /// The field `name`; a finding if it is missing.
-    pub fn required<'a, 'y>(&mut self, at: &At<'a, 'y>, name: &str) -> Option<At<'a, 'y>> {
-        let field = at.get(name);
-        if field.is_none() && at.node.data.as_mapping().is_some() {
+    /// Returns the field `name`; reports a finding if it is missing.
+    pub fn required<'a, 'y>(&mut self, node: &Node<'a, 'y>, name: &str) -> Option<Node<'a, 'y>> {
+        let field = node.get(name);
+        if field.is_none() && node.yaml.data.as_mapping().is_some() {
             let message = format!("field {name} is missing");
-            self.report(at, &message, "add it");
+            self.report(node, &message, "add it");
         }
         field
     }
 
-    /// A text that is not empty.
-    pub fn text(&mut self, at: &At<'_, '_>) -> Option<String> {
-        match at.node.data.as_str() {
+    /// Reads a non-empty string.
+    pub fn text(&mut self, node: &Node<'_, '_>) -> Option<String> {
+        match node.yaml.data.as_str() {
             Some(text) if !text.is_empty() => Some(text.to_owned()),
             _ => {
-                self.report(at, "not a text", "give a text that is not empty");
+                self.report(node, "not a text", "give a text that is not empty");
                 None
             }
         }
     }
 
-    /// `true` or `false`.
-    pub fn flag(&mut self, at: &At<'_, '_>) -> Option<bool> {
-        let flag = at.node.data.as_bool();
+    /// Reads `true` or `false`.
+    pub fn boolean(&mut self, node: &Node<'_, '_>) -> Option<bool> {
+        let flag = node.yaml.data.as_bool();
         if flag.is_none() {
-            self.report(at, "not a truth value", "give true or false");
+            self.report(node, "not a truth value", "give true or false");
         }
         flag
     }
 
-    /// A whole number within `least..=most`.
-    pub fn number(&mut self, at: &At<'_, '_>, least: u64, most: u64) -> Option<u64> {
-        let number = at
-            .node
+    /// Reads an integer in `min..=max`.
+    pub fn number(&mut self, node: &Node<'_, '_>, min: u64, max: u64) -> Option<u64> {
+        let number = node
+            .yaml
             .data
             .as_integer()
             .and_then(|n| u64::try_from(n).ok());
         match number {
-            Some(number) if (least..=most).contains(&number) => Some(number),
+            Some(number) if (min..=max).contains(&number) => Some(number),
             _ => {
-                let mend = format!("give a whole number from {least} to {most}");
-                self.report(at, "not a number in range", &mend);
+                let help = format!("give a whole number from {min} to {max}");
+                self.report(node, "not a number in range", &help);
                 None
             }
         }
     }
 
-    /// A value that parses, such as an address.
-    pub fn parsed<T: std::str::FromStr>(&mut self, at: &At<'_, '_>, mend: &str) -> Option<T> {
-        let text = self.text(at)?;
+    /// Reads a string and parses it, for example as a socket address.
+    pub fn parse<T: std::str::FromStr>(&mut self, node: &Node<'_, '_>, help: &str) -> Option<T> {
+        let text = self.text(node)?;
         match text.parse() {
             Ok(value) => Some(value),
             Err(_) => {
-                self.report(at, &format!("{text:?} does not fit"), mend);
+                self.report(node, &format!("{text:?} does not fit"), help);
                 None
             }
         }
     }
 
-    /// An HTTP base address by IP number, without a trailing slash.
-    pub fn url(&mut self, at: &At<'_, '_>) -> Option<String> {
-        let text = self.text(at)?;
+    /// Reads an HTTP base URL with an IP address and port, without a trailing slash.
+    pub fn url(&mut self, node: &Node<'_, '_>) -> Option<String> {
+        let text = self.text(node)?;
         let address = text.strip_prefix("http://").unwrap_or_default();
         if address.parse::<std::net::SocketAddr>().is_ok() {
             return Some(text);
         }
         let message = format!("{text:?} is not a base address");
-        self.report(at, &message, "give http://IP:PORT without a path");
+        self.report(node, &message, "give http://IP:PORT without a path");
         None
     }
 
-    /// A sequence; one finding and nothing if it is none.
-    pub fn items<'a, 'y>(&mut self, at: &At<'a, 'y>) -> Vec<At<'a, 'y>> {
-        let Some(items) = at.node.data.as_sequence() else {
-            self.report(at, "not a list", "give a list");
+    /// Reads a sequence. Reports a finding and returns no items if the node is not a sequence.
+    pub fn sequence<'a, 'y>(&mut self, node: &Node<'a, 'y>) -> Vec<Node<'a, 'y>> {
+        let Some(items) = node.yaml.data.as_sequence() else {
+            self.report(node, "not a list", "give a list");
             return Vec::new();
         };
-        let item = |(index, node)| At {
-            node,
-            path: format!("{}[{index}]", at.path),
+        let item = |(index, yaml)| Node {
+            yaml,
+            path: format!("{}[{index}]", node.path),
         };
         items.iter().enumerate().map(item).collect()
     }
 
-    /// A list of texts.
-    pub fn texts(&mut self, at: &At<'_, '_>) -> Vec<String> {
-        let items = self.items(at);
+    /// Reads a sequence of non-empty strings.
+    pub fn texts(&mut self, node: &Node<'_, '_>) -> Vec<String> {
+        let items = self.sequence(node);
         items.iter().filter_map(|item| self.text(item)).collect()
     }
 }
 
-impl<'a, 'y> At<'a, 'y> {
-    /// The top of a document.
-    pub fn top(node: &'a MarkedYaml<'y>) -> Self {
-        At {
-            node,
+impl<'a, 'y> Node<'a, 'y> {
+    /// Creates the root node of a document.
+    pub fn root(yaml: &'a MarkedYaml<'y>) -> Self {
+        Node {
+            yaml,
             path: String::new(),
         }
     }
 
-    /// The field `name`, if it is there.
-    pub fn get(&self, name: &str) -> Option<At<'a, 'y>> {
-        let node = self.node.data.as_mapping_get(name)?;
-        Some(At {
-            node,
+    /// Returns the field `name`, if present.
+    pub fn get(&self, name: &str) -> Option<Node<'a, 'y>> {
+        let yaml = self.yaml.data.as_mapping_get(name)?;
+        Some(Node {
+            yaml,
             path: self.join(name),
         })
     }
 
-    /// The text of a scalar, without a finding if it is none.
+    /// Returns the string value of the node, without reporting a finding if it is not a string.
     pub fn as_text(&self) -> Option<&'a str> {
-        self.node.data.as_str()
+        self.yaml.data.as_str()
     }
 
     fn join(&self, name: &str) -> String {
--- a/reachtally-config/src/settings.rs
+++ b/reachtally-config/src/settings.rs
@@ -7,16 +7,16 @@
 
 use crate::finding::Findings;
 use crate::keys;
-use crate::reader::{At, Reader};
+use crate::reader::{Node, Reader};
 
-/// What an operator may do.
+/// The role of an operator. Each role includes the permissions of the ones before it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Role {
-    /// Ask what is running.
+    /// May run queries.
     Read,
-    /// Also load, drain, promote and stop.
+    /// May also load, drain, promote and stop.
     Operate,
-    /// Also declare objects and force.
+    /// May also declare objects and force operations.
     Admin,
 }
 
@@ -33,47 +33,47 @@
     }
 }
 
-/// An operator with a key.
+/// An operator and the hash of their key.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Operator {
-    /// The name the audit trail shows.
+    /// Name shown in the audit trail.
     pub name: String,
-    /// What the operator may do.
+    /// The operator's role.
     pub role: Role,
-    /// SHA-256 of the key, lower-case hex.
+    /// SHA-256 of the key in lower-case hex.
     pub hash: String,
 }
 
 /// The settings of one daemon.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Settings {
-    /// The name of its box.
+    /// Name of the daemon's box.
     pub box_name: String,
-    /// The failure domain of its box.
+    /// Failure domain of the daemon's box.
     pub domain: String,
-    /// Where callers connect.
+    /// Address on which callers connect.
     pub callers: SocketAddr,
-    /// Where operators connect.
+    /// Address on which operators connect.
     pub operators: SocketAddr,
-    /// Where other daemons of the failure domain connect; without it the daemon takes no part in
-    /// membership and never becomes the steward.
+    /// Address on which other daemons of the failure domain connect. Without it the daemon does not take part
+    /// in membership and never becomes the steward.
     pub peer: Option<SocketAddr>,
-    /// Base address of the platform's log.
+    /// Base URL of the platform's log.
     pub log: String,
-    /// Base address of the platform's live list.
+    /// Base URL of the platform's live list.
     pub list: String,
-    /// Where metrics go, as StatsD over UDP; nowhere if not set.
+    /// Address to which metrics are sent as StatsD over UDP; none are sent if it is not set.
     pub statsd: Option<SocketAddr>,
-    /// The operators.
+    /// The operators and their keys.
     pub operator_keys: Vec<Operator>,
-    /// The longest body of a caller's request, in bytes.
+    /// Maximum size of a caller's request body, in bytes.
     pub body_bytes: u64,
-    /// How long a caller's request may take.
+    /// Maximum duration of a caller's request.
     pub patience: Duration,
-    /// How long a stop waits in readiness `false` before it refuses new work, so that the balancer
-    /// sees it.
+    /// How long the daemon reports `false` for readiness before it refuses new work on shutdown, so that the
+    /// load balancer notices.
     pub stop_notice: Duration,
-    /// Bounds of the core.
+    /// Limits of the core.
     pub limits: Limits,
 }
 
@@ -118,42 +118,42 @@
 /// Default of `limits.stop_notice_ms`.
 pub const STOP_NOTICE: Duration = Duration::from_millis(1000);
 
-const ADDRESS_MEND: &str = "give IP:PORT";
+const ADDRESS_HELP: &str = "give IP:PORT";
 
-/// Read settings from `text`, the content of `file`.
+/// Parses the settings in `text`, the content of `file`.
 ///
 /// # Errors
-/// All findings with their places.
+/// All findings with their positions.
 pub fn parse(file: &str, text: &str) -> Result<Settings, Findings> {
     let mut reader = Reader::new(file);
-    let Some(document) = reader.load(text) else {
-        return reader.finish(None);
+    let Some(document) = reader.parse_document(text) else {
+        return reader.into_result(None);
     };
-    let settings = read(&mut reader, &At::top(&document));
-    reader.finish(settings)
+    let settings = read(&mut reader, &Node::root(&document));
+    reader.into_result(settings)
 }
 
-fn read(reader: &mut Reader<'_>, top: &At<'_, '_>) -> Option<Settings> {
-    if !reader.fields(top, &FIELDS) {
+fn read(reader: &mut Reader<'_>, root: &Node<'_, '_>) -> Option<Settings> {
+    if !reader.check_fields(root, &FIELDS) {
         return None;
     }
-    let box_name = required_text(reader, top, "box");
-    let domain = required_text(reader, top, "domain");
-    let callers = address(reader, top, "callers", CALLERS);
-    let operators = address(reader, top, "operators", OPERATORS);
-    let log = required_url(reader, top, "log");
-    let list = required_url(reader, top, "list");
-    let statsd = top
+    let box_name = read_text(reader, root, "box");
+    let domain = read_text(reader, root, "domain");
+    let callers = read_address(reader, root, "callers", CALLERS);
+    let operators = read_address(reader, root, "operators", OPERATORS);
+    let log = read_url(reader, root, "log");
+    let list = read_url(reader, root, "list");
+    let statsd = root
         .get("statsd")
-        .and_then(|at| reader.parsed(&at, ADDRESS_MEND));
-    let peer = top
+        .and_then(|node| reader.parse(&node, ADDRESS_HELP));
+    let peer = root
         .get("peer")
-        .and_then(|at| reader.parsed(&at, ADDRESS_MEND));
-    let operator_keys = top
+        .and_then(|node| reader.parse(&node, ADDRESS_HELP));
+    let operator_keys = root
         .get("operator_keys")
-        .map(|at| read_operators(reader, &at))
+        .map(|node| read_operators(reader, &node))
         .unwrap_or_default();
-    let bounds = read_bounds(reader, top);
+    let bounds = read_bounds(reader, root);
     Some(Settings {
         box_name: box_name?,
         domain: domain?,
@@ -171,7 +171,7 @@
     })
 }
 
-/// What the field `limits` holds.
+/// The values of the field `limits`.
 struct Bounds {
     body_bytes: u64,
     patience: Duration,
@@ -179,48 +179,48 @@
     limits: Limits,
 }
 
-fn required_text(reader: &mut Reader<'_>, top: &At<'_, '_>, name: &str) -> Option<String> {
-    let at = reader.required(top, name)?;
-    reader.text(&at)
+fn read_text(reader: &mut Reader<'_>, root: &Node<'_, '_>, name: &str) -> Option<String> {
+    let node = reader.required(root, name)?;
+    reader.text(&node)
 }
 
-/// An address, or `default` where none is given.
-fn address(
+/// Reads a socket address, or returns `default` if the field is missing.
+fn read_address(
     reader: &mut Reader<'_>,
-    top: &At<'_, '_>,
+    root: &Node<'_, '_>,
     name: &str,
     default: SocketAddr,
 ) -> Option<SocketAddr> {
-    match top.get(name) {
-        Some(at) => reader.parsed(&at, ADDRESS_MEND),
+    match root.get(name) {
+        Some(node) => reader.parse(&node, ADDRESS_HELP),
         None => Some(default),
     }
 }
 
-fn required_url(reader: &mut Reader<'_>, top: &At<'_, '_>, name: &str) -> Option<String> {
-    let at = reader.required(top, name)?;
-    reader.url(&at)
+fn read_url(reader: &mut Reader<'_>, root: &Node<'_, '_>, name: &str) -> Option<String> {
+    let node = reader.required(root, name)?;
+    reader.url(&node)
 }
 
-fn read_operators(reader: &mut Reader<'_>, at: &At<'_, '_>) -> Vec<Operator> {
-    let items = reader.items(at);
+fn read_operators(reader: &mut Reader<'_>, node: &Node<'_, '_>) -> Vec<Operator> {
+    let items = reader.sequence(node);
     items
         .iter()
         .filter_map(|item| read_operator(reader, item))
         .collect()
 }
 
-fn read_operator(reader: &mut Reader<'_>, at: &At<'_, '_>) -> Option<Operator> {
-    if !reader.fields(at, &["name", "role", "hash"]) {
+fn read_operator(reader: &mut Reader<'_>, node: &Node<'_, '_>) -> Option<Operator> {
+    if !reader.check_fields(node, &["name", "role", "hash"]) {
         return None;
     }
-    let name = required_text(reader, at, "name");
+    let name = read_text(reader, node, "name");
     let role = reader
-        .required(at, "role")
-        .and_then(|at| reader.parsed(&at, "give read, operate or admin"));
+        .required(node, "role")
+        .and_then(|node| reader.parse(&node, "give read, operate or admin"));
     let hash = reader
-        .required(at, "hash")
-        .and_then(|at| key_hash(reader, &at));
+        .required(node, "hash")
+        .and_then(|node| read_key_hash(reader, &node));
     Some(Operator {
         name: name?,
         role: role?,
@@ -228,36 +228,36 @@
     })
 }
 
-/// The hash of a key.
-pub(crate) fn key_hash(reader: &mut Reader<'_>, at: &At<'_, '_>) -> Option<String> {
-    let text = reader.text(at)?;
+/// Reads the hash of a key.
+pub(crate) fn read_key_hash(reader: &mut Reader<'_>, node: &Node<'_, '_>) -> Option<String> {
+    let text = reader.text(node)?;
     if keys::is_hash(&text) {
         return Some(text);
     }
-    let mend = "give the key's SHA-256 as 64 lower-case hex digits (reachtally hash-key)";
-    reader.report(at, "not the hash of a key", mend);
+    let help = "give the key's SHA-256 as 64 lower-case hex digits (reachtally hash-key)";
+    reader.report(node, "not the hash of a key", help);
     None
 }
 
-fn read_bounds(reader: &mut Reader<'_>, top: &At<'_, '_>) -> Bounds {
+fn read_bounds(reader: &mut Reader<'_>, root: &Node<'_, '_>) -> Bounds {
     let mut bounds = Bounds {
         body_bytes: BODY_BYTES,
         patience: PATIENCE,
         stop_notice: STOP_NOTICE,
         limits: Limits::default(),
     };
-    if let Some(at) = top.get("limits")
-        && reader.fields(&at, &LIMIT_FIELDS)
+    if let Some(node) = root.get("limits")
+        && reader.check_fields(&node, &LIMIT_FIELDS)
     {
-        read_limits(reader, &at, &mut bounds);
+        read_limits(reader, &node, &mut bounds);
     }
     bounds
 }
 
-fn read_limits(reader: &mut Reader<'_>, at: &At<'_, '_>, bounds: &mut Bounds) {
-    let mut number = |name: &str, least: u64, most: u64| -> Option<u64> {
-        let field = at.get(name)?;
-        reader.number(&field, least, most)
+fn read_limits(reader: &mut Reader<'_>, node: &Node<'_, '_>, bounds: &mut Bounds) {
+    let mut number = |name: &str, min: u64, max: u64| -> Option<u64> {
+        let field = node.get(name)?;
+        reader.number(&field, min, max)
     };
     let limits = &mut bounds.limits;
     if let Some(bytes) = number("body_bytes", 1, 64 << 20) {
--- a/reachtally-config/tests/config/declarations.rs
+++ b/reachtally-config/tests/config/declarations.rs
@@ -1,4 +1,4 @@
-//! Every finding of a declarations file is reported with its place.
+//! Every finding in a declarations file is reported with its position.
 
 use reachtally_config::declarations::parse;
 use reachtally_core::declare::{Kind, Layers, Object};
@@ -16,8 +16,8 @@
 ";
 
 #[test]
-fn good_declarations_are_read() {
-    let objects = parse("good.yaml", GOOD).expect("the declarations are good");
+fn valid_declarations_are_parsed() {
+    let objects = parse("good.yaml", GOOD).expect("the declarations are valid");
     let kinds: Vec<Kind> = objects.iter().map(Object::kind).collect();
     let expected = [
         Kind::Model,
@@ -48,13 +48,13 @@
 accounts:
   - {name: counter, keys: [secret], max_running: 8, colour: red}
 ";
-    let findings = parse("bad.yaml", text).expect_err("the declarations are bad");
+    let findings = parse("bad.yaml", text).expect_err("the declarations are invalid");
     insta::assert_snapshot!(findings);
 }
 
 #[test]
 fn a_gap_in_the_declared_chain_is_reported() {
     let text = GOOD.replace("6..12", "7..12");
-    let findings = parse("bad.yaml", &text).expect_err("layer 6 is held by no engine");
+    let findings = parse("bad.yaml", &text).expect_err("no engine holds layer 6");
     insta::assert_snapshot!(findings);
 }
--- a/reachtally-config/tests/config/settings.rs
+++ b/reachtally-config/tests/config/settings.rs
@@ -1,4 +1,4 @@
-//! Every finding of a settings file is reported with its place.
+//! Every finding in a settings file is reported with its position.
 
 use std::net::SocketAddr;
 
@@ -16,8 +16,8 @@
 ";
 
 #[test]
-fn good_settings_are_read_and_defaults_filled_in() {
-    let settings = parse("good.yaml", GOOD).expect("the settings are good");
+fn valid_settings_are_parsed_and_defaults_filled_in() {
+    let settings = parse("good.yaml", GOOD).expect("the settings are valid");
     assert_eq!(settings.callers, SocketAddr::from(([127, 0, 0, 1], 7070)));
     assert_eq!(settings.limits.caller_window, 8);
     assert_eq!(settings.body_bytes, reachtally_config::settings::BODY_BYTES);
@@ -40,12 +40,12 @@
   caller_window: 0
   patience_s: soon
 ";
-    let findings = parse("bad.yaml", text).expect_err("the settings are bad");
+    let findings = parse("bad.yaml", text).expect_err("the settings are invalid");
     insta::assert_snapshot!(findings);
 }
 
 #[test]
-fn text_that_is_no_yaml_is_one_finding() {
+fn invalid_yaml_is_one_finding() {
     let findings = parse("bad.yaml", "box: [b1\n").expect_err("the list is not closed");
     assert_eq!(findings.0.len(), 1);
     assert_eq!(findings.0[0].file, "bad.yaml");
