--- a/reachtally-target/src/http.rs
+++ b/reachtally-target/src/http.rs
@@ -1,14 +1,14 @@
 //! The HTTP adapter for engines and services.
 //!
-//! What a failure proves:
+//! What each failure proves about whether the call ran:
 //!
-//! | what happened | proves |
+//! | failure | proves |
 //! |---|---|
-//! | no connection came about | nothing ran |
-//! | the target answered with `reachtally-outcome: not-run` | nothing ran |
-//! | reset or time-out after the connection stood | nothing |
+//! | no connection was established | the call did not run |
+//! | response with `reachtally-outcome: not-run` | the call did not run |
+//! | reset or timeout on an established connection | nothing |
 //! | status 5xx without that header | nothing |
-//! | an answer that breaks off or does not decode | nothing |
+//! | truncated response, or one that can't be decoded | nothing |
 
 use std::time::Duration;
 
@@ -28,29 +28,30 @@
     Orders, POSITIONS_HEADER, Probe, REPORT_PATH, STEPS_PATH, Services, wire,
 };
 
-/// Time for a connection to come about.
+/// Timeout for establishing a connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
-/// Time an unused connection is kept. Shorter than targets keep theirs, so that a call rarely meets
-/// one that the target is just closing.
+/// How long an idle connection is kept. This is shorter than the targets' own timeout, so that a call is rarely
+/// sent on a connection that the target is closing.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(3);
-/// Time for a probe.
+/// Timeout of a health check, a report or an order.
 const PROBE_TIMEOUT: Duration = Duration::from_secs(1);
-/// Time for an export, and for an import.
+/// Timeout of a KV export and of a KV import, each.
 const KV_TIMEOUT: Duration = Duration::from_secs(10);
-/// The longest service answer taken, in bytes. It is held whole, since its outcome goes in a header.
+/// Maximum size of a service's response body in bytes. The response is buffered completely, because its outcome
+/// is sent in a header.
 pub const ANSWER_BYTES_MAX: usize = 4 << 20;
 
-/// Targets reached over HTTP.
+/// Client for targets over HTTP.
 #[derive(Debug, Clone)]
 pub struct HttpTargets {
     client: Client,
 }
 
 impl HttpTargets {
-    /// An adapter with a connection pool of its own.
+    /// Creates a client with its own connection pool.
     ///
     /// # Errors
-    /// The client's, if it can't be set up.
+    /// An error of `reqwest` if the HTTP client can't be built.
     pub fn new() -> Result<Self, reqwest::Error> {
         let client = Client::builder()
             .connect_timeout(CONNECT_TIMEOUT)
@@ -62,8 +63,8 @@
     }
 }
 
-/// What a failed send proves.
-fn failure(err: &reqwest::Error) -> CallFailure {
+/// Classifies an error of sending a request: only a failed connection proves that the call did not run.
+fn transport_failure(err: &reqwest::Error) -> CallFailure {
     if err.is_connect() {
         CallFailure::NeverStarted(NeverStarted::ConnectFailed)
     } else {
@@ -71,10 +72,11 @@
     }
 }
 
-/// What an answer's status and headers prove, if they are no success.
-fn refused(response: &Response) -> Option<CallFailure> {
-    let said = response.headers().get(OUTCOME_HEADER);
-    if said.is_some_and(|value| value == NOT_RUN) {
+/// Classifies a response by its status and headers; `None` if they indicate neither a call that did not run nor
+/// a server error.
+fn response_failure(response: &Response) -> Option<CallFailure> {
+    let outcome = response.headers().get(OUTCOME_HEADER);
+    if outcome.is_some_and(|value| value == NOT_RUN) {
         return Some(CallFailure::NeverStarted(NeverStarted::TargetSaidSo));
     }
     response
@@ -92,8 +94,8 @@
             .body(wire::encode_batch(batch))
             .send()
             .await
-            .map_err(|err| failure(&err))?;
-        if let Some(failure) = refused(&response) {
+            .map_err(|err| transport_failure(&err))?;
+        if let Some(failure) = response_failure(&response) {
             return Err(failure);
         }
         if !response.status().is_success() {
@@ -111,8 +113,8 @@
         call: ServiceCall,
         key: Option<String>,
     ) -> Result<Answer, CallFailure> {
-        let unsendable = CallFailure::NeverStarted(NeverStarted::ConnectFailed);
-        let method = Method::from_bytes(call.method.as_bytes()).map_err(|_| unsendable)?;
+        let invalid_method = CallFailure::NeverStarted(NeverStarted::ConnectFailed);
+        let method = Method::from_bytes(call.method.as_bytes()).map_err(|_| invalid_method)?;
         let mut req = self.client.request(method, format!("{url}/{}", call.path));
         if let Some(content_type) = call.content_type {
             req = req.header(CONTENT_TYPE, content_type);
@@ -124,13 +126,13 @@
             .body(call.body)
             .send()
             .await
-            .map_err(|err| failure(&err))?;
-        if let Some(failure) = refused(&response) {
+            .map_err(|err| transport_failure(&err))?;
+        if let Some(failure) = response_failure(&response) {
             return Err(failure);
         }
         let status = response.status().as_u16();
         let content_type = content_type(response.headers());
-        let body = bounded_body(response).await?;
+        let body = read_bounded_body(response).await?;
         Ok(Answer {
             status,
             content_type,
@@ -144,7 +146,7 @@
     Some(value.to_owned())
 }
 
-async fn bounded_body(mut response: Response) -> Result<Bytes, CallFailure> {
+async fn read_bounded_body(mut response: Response) -> Result<Bytes, CallFailure> {
     let mut body = Vec::new();
     while let Some(chunk) = response.chunk().await.map_err(|_| CallFailure::Lost)? {
         if body.len() + chunk.len() > ANSWER_BYTES_MAX {
--- a/reachtally-target/src/lib.rs
+++ b/reachtally-target/src/lib.rs
@@ -1,7 +1,7 @@
-//! Traits and HTTP adapters for the targets: model engines and plain services.
+//! Traits and HTTP adapters for targets: model engines and plain services.
 //!
-//! Each trait has one adapter, so that a target's wire can be exchanged without touching a decision.
-//! The adapters also judge failures: what counts as proof that nothing ran is in [`http`].
+//! Each trait has one adapter, so that a target's protocol can be replaced without changing routing decisions.
+//! The adapters also classify failures: [`http`] documents which ones prove that a call did not run.
 #![forbid(unsafe_code)]
 #![deny(missing_docs)]
 
@@ -23,28 +23,28 @@
     pub mod engine;
 }
 
-/// Path of an engine's step route.
+/// Path to which step calls are sent.
 pub const STEPS_PATH: &str = "v1/steps";
 /// Path of an engine's report.
 pub const REPORT_PATH: &str = "v1/report";
-/// Path of a request's KV, before its incarnation and number.
+/// Path of a request's KV cache; the incarnation and the sequence number of the request are appended.
 pub const KV_PATH: &str = "v1/kv";
-/// The header that tells how many positions exported KV covers.
+/// Header with the number of positions that exported KV covers.
 pub const POSITIONS_HEADER: &str = "reachtally-positions";
-/// Path of an engine's orders.
+/// Path to which orders for an engine are sent.
 pub const ORDERS_PATH: &str = "v1/orders";
-/// Path that every target answers while it is up.
+/// Path of the health check that every target answers while it is up.
 pub const HEALTH_PATH: &str = "health";
-/// The header by which a target says that a call did not run.
+/// Header by which a target states that a call did not run.
 pub const OUTCOME_HEADER: &str = "reachtally-outcome";
-/// The value of [`OUTCOME_HEADER`] for a call that did not run.
+/// Value of [`OUTCOME_HEADER`] for a call that did not run.
 pub const NOT_RUN: &str = "not-run";
-/// The header that carries the caller's idempotency key.
+/// Header with the caller's idempotency key.
 pub const KEY_HEADER: &str = "idempotency-key";
 
-/// Engines that hold layer ranges.
+/// Calls to engines that hold layer ranges.
 pub trait Engines {
-    /// Run steps at the engine at `url`.
+    /// Runs a batch of steps on the engine at `url`.
     fn steps(
         &self,
         url: &str,
@@ -52,9 +52,9 @@
     ) -> impl Future<Output = Result<Vec<StepResult>, CallFailure>> + Send;
 }
 
-/// Plain services.
+/// Calls to plain services.
 pub trait Services {
-    /// Call the instance at `url`, passing `key` on.
+    /// Calls the service instance at `url` and forwards the idempotency key `key`.
     fn call(
         &self,
         url: &str,
@@ -63,19 +63,19 @@
     ) -> impl Future<Output = Result<Answer, CallFailure>> + Send;
 }
 
-/// Engines that take orders.
+/// Control of engines by the steward.
 pub trait Orders {
-    /// What the engine at `url` holds, if it answers.
+    /// Returns the report of the engine at `url`, or `None` if it does not answer.
     fn report(&self, url: &str) -> impl Future<Output = Option<Reported>> + Send;
 
-    /// Give the engine at `url` an order; `false` if it did not take it.
+    /// Sends an order to the engine at `url`. Returns whether the engine accepted it.
     fn order(&self, url: &str, fence: u64, order: Order) -> impl Future<Output = bool> + Send;
 }
 
-/// Engines that export and import KV.
+/// Transfer of KV between engines.
 pub trait KvMoves {
-    /// Export a request's KV from the engine at `from` and import it into the one at `to`; yields the
-    /// positions that it covers, or nothing if it was not moved.
+    /// Exports a request's KV from the engine at `from` and imports it into the engine at `to`. Returns the
+    /// number of positions covered, or `None` if the transfer failed.
     fn move_kv(
         &self,
         from: &str,
@@ -84,8 +84,8 @@
     ) -> impl Future<Output = Option<u32>> + Send;
 }
 
-/// Any target.
+/// Health checks of any target.
 pub trait Probe {
-    /// Whether the target at `url` answers.
+    /// Returns whether the target at `url` answers its health check with success.
     fn probe(&self, url: &str) -> impl Future<Output = bool> + Send;
 }
--- a/reachtally-target/src/order.rs
+++ b/reachtally-target/src/order.rs
@@ -1,28 +1,28 @@
-//! Orders and reports as JSON.
+//! JSON bodies of orders and reports.
 
 use std::collections::BTreeSet;
 
 use reachtally_core::systems::steward::{Order, Reported};
 use serde::{Deserialize, Serialize};
 
-/// An order to an engine.
+/// The body of an order to an engine.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct OrderBody {
-    /// The fence of the one who gives it.
+    /// Fencing token of the sender.
     pub fence: u64,
-    /// What to do.
+    /// The action to perform.
     pub action: Action,
 }
 
-/// What an order asks for. Each is idempotent.
+/// The action of an order. All actions are idempotent.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Action {
-    /// Load a model version or an adapter.
+    /// Loads a model version or an adapter.
     Load(String),
-    /// Unload it.
+    /// Unloads a model version or an adapter.
     Unload(String),
-    /// Stop.
+    /// Stops the engine.
     Stop,
 }
 
@@ -36,12 +36,12 @@
     }
 }
 
-/// What an engine reports of itself.
+/// The body of an engine's report on its state.
 #[derive(Debug, Clone, PartialEq, Eq, Default, Serialize, Deserialize)]
 pub struct ReportBody {
-    /// What it holds loaded.
+    /// The loaded model versions and adapters.
     pub loaded: BTreeSet<String>,
-    /// Requests whose KV it holds.
+    /// Number of requests whose KV the engine holds.
     pub requests: u64,
 }
 
--- a/reachtally-target/src/wire.rs
+++ b/reachtally-target/src/wire.rs
@@ -1,4 +1,4 @@
-//! Steps and results to and from their wire form.
+//! Encodes and decodes steps and results in their wire format.
 
 use bytes::Bytes;
 use prost::Message;
@@ -7,22 +7,22 @@
 
 use crate::generated::engine as pb;
 
-/// Media type of both bodies.
+/// Media type of request and response bodies.
 pub const MEDIA_TYPE: &str = "application/x-protobuf";
 
-/// A body that does not decode.
+/// An error that occurred while decoding a body.
 #[derive(Debug)]
 pub enum Error {
-    /// Not the message expected.
+    /// The body is not a valid message.
     Decode(prost::DecodeError),
-    /// A field that must be set is missing.
+    /// A required field is missing.
     Missing(&'static str),
 }
 
 impl std::fmt::Display for Error {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         match self {
-            Error::Decode(cause) => write!(f, "the body does not decode: {cause}"),
+            Error::Decode(cause) => write!(f, "can't decode the body: {cause}"),
             Error::Missing(field) => write!(f, "field {field} is missing"),
         }
     }
@@ -30,14 +30,14 @@
 
 impl std::error::Error for Error {}
 
-fn id_out(id: RequestId) -> Option<pb::RequestId> {
+fn encode_id(id: RequestId) -> Option<pb::RequestId> {
     Some(pb::RequestId {
         incarnation: id.incarnation.0,
         seq: id.seq,
     })
 }
 
-fn id_in(id: Option<pb::RequestId>) -> Result<RequestId, Error> {
+fn decode_id(id: Option<pb::RequestId>) -> Result<RequestId, Error> {
     let id = id.ok_or(Error::Missing("request"))?;
     Ok(RequestId {
         incarnation: Incarnation(id.incarnation),
@@ -45,22 +45,22 @@
     })
 }
 
-/// Encode the body of a step call.
+/// Encodes the request body of a step call.
 pub fn encode_batch(batch: Batch) -> Vec<u8> {
     let request = pb::StepsRequest {
-        steps: batch.steps.into_iter().map(step_out).collect(),
-        releases: batch.releases.into_iter().map(release_out).collect(),
+        steps: batch.steps.into_iter().map(encode_step).collect(),
+        releases: batch.releases.into_iter().map(encode_release).collect(),
     };
     request.encode_to_vec()
 }
 
-fn step_out(step: Step) -> pb::Step {
+fn encode_step(step: Step) -> pb::Step {
     let input = match step.input {
         Input::Tokens { text, tokens } => pb::step::Input::Tokens(pb::Tokens { text, ids: tokens }),
         Input::Activations(bytes) => pb::step::Input::Activations(bytes),
     };
     pb::Step {
-        request: id_out(step.request),
+        request: encode_id(step.request),
         attempt: step.attempt,
         from: step.from,
         positions: step.positions,
@@ -72,29 +72,29 @@
     }
 }
 
-fn release_out(release: Release) -> pb::Release {
+fn encode_release(release: Release) -> pb::Release {
     pb::Release {
-        request: id_out(release.request),
+        request: encode_id(release.request),
         attempt: release.attempt,
     }
 }
 
-/// Decode the body of a step call.
+/// Decodes the request body of a step call.
 ///
 /// # Errors
-/// [`Error`] if the body is not a step call or lacks a field.
+/// [`Error`] if the body is not a step call or a required field is missing.
 pub fn decode_batch(body: Bytes) -> Result<Batch, Error> {
     let request = pb::StepsRequest::decode(body).map_err(Error::Decode)?;
-    let steps: Result<Vec<Step>, Error> = request.steps.into_iter().map(step_in).collect();
+    let steps: Result<Vec<Step>, Error> = request.steps.into_iter().map(decode_step).collect();
     let releases: Result<Vec<Release>, Error> =
-        request.releases.into_iter().map(release_in).collect();
+        request.releases.into_iter().map(decode_release).collect();
     Ok(Batch {
         steps: steps?,
         releases: releases?,
     })
 }
 
-fn step_in(step: pb::Step) -> Result<Step, Error> {
+fn decode_step(step: pb::Step) -> Result<Step, Error> {
     let input = match step.input.ok_or(Error::Missing("input"))? {
         pb::step::Input::Tokens(tokens) => Input::Tokens {
             text: tokens.text,
@@ -103,7 +103,7 @@
         pb::step::Input::Activations(bytes) => Input::Activations(bytes),
     };
     Ok(Step {
-        request: id_in(step.request)?,
+        request: decode_id(step.request)?,
         attempt: step.attempt,
         from: step.from,
         positions: step.positions,
@@ -115,31 +115,31 @@
     })
 }
 
-fn release_in(release: pb::Release) -> Result<Release, Error> {
+fn decode_release(release: pb::Release) -> Result<Release, Error> {
     Ok(Release {
-        request: id_in(release.request)?,
+        request: decode_id(release.request)?,
         attempt: release.attempt,
     })
 }
 
-/// Encode the answer to a step call.
+/// Encodes the response body of a step call.
 pub fn encode_results(results: Vec<StepResult>) -> Vec<u8> {
     let response = pb::StepsResponse {
-        results: results.into_iter().map(result_out).collect(),
+        results: results.into_iter().map(encode_result).collect(),
     };
     response.encode_to_vec()
 }
 
-fn result_out(result: StepResult) -> pb::StepResult {
+fn encode_result(result: StepResult) -> pb::StepResult {
     let output = match result.output {
         Ok(Output::Activations(bytes)) => pb::step_result::Output::Activations(bytes),
         Ok(Output::Token { id, text, end }) => {
             pb::step_result::Output::Token(pb::Token { id, text, end })
         }
-        Err(refusal) => pb::step_result::Output::Refusal(refusal_out(refusal).into()),
+        Err(refusal) => pb::step_result::Output::Refusal(encode_refusal(refusal).into()),
     };
     pb::StepResult {
-        request: id_out(result.request),
+        request: encode_id(result.request),
         attempt: result.attempt,
         from: result.from,
         positions: result.positions,
@@ -147,16 +147,16 @@
     }
 }
 
-/// Decode the answer to a step call.
+/// Decodes the response body of a step call.
 ///
 /// # Errors
-/// [`Error`] if the body is not such an answer or lacks a field.
+/// [`Error`] if the body is not a response to a step call or a required field is missing.
 pub fn decode_results(body: Bytes) -> Result<Vec<StepResult>, Error> {
     let response = pb::StepsResponse::decode(body).map_err(Error::Decode)?;
-    response.results.into_iter().map(result_in).collect()
+    response.results.into_iter().map(decode_result).collect()
 }
 
-fn result_in(result: pb::StepResult) -> Result<StepResult, Error> {
+fn decode_result(result: pb::StepResult) -> Result<StepResult, Error> {
     let output = match result.output.ok_or(Error::Missing("output"))? {
         pb::step_result::Output::Activations(bytes) => Ok(Output::Activations(bytes)),
         pb::step_result::Output::Token(token) => Ok(Output::Token {
@@ -164,10 +164,10 @@
             text: token.text,
             end: token.end,
         }),
-        pb::step_result::Output::Refusal(refusal) => Err(refusal_in(refusal)),
+        pb::step_result::Output::Refusal(refusal) => Err(decode_refusal(refusal)),
     };
     Ok(StepResult {
-        request: id_in(result.request)?,
+        request: decode_id(result.request)?,
         attempt: result.attempt,
         from: result.from,
         positions: result.positions,
@@ -175,7 +175,7 @@
     })
 }
 
-fn refusal_out(refusal: StepRefusal) -> pb::Refusal {
+fn encode_refusal(refusal: StepRefusal) -> pb::Refusal {
     match refusal {
         StepRefusal::KvMissing => pb::Refusal::KvMissing,
         StepRefusal::StaleAttempt => pb::Refusal::StaleAttempt,
@@ -184,8 +184,8 @@
     }
 }
 
-/// A refusal this router does not know is one it can't cure.
-fn refusal_in(refusal: i32) -> StepRefusal {
+/// Refusals that this router does not know are treated as malformed, since it can't resolve them.
+fn decode_refusal(refusal: i32) -> StepRefusal {
     match pb::Refusal::try_from(refusal) {
         Ok(pb::Refusal::KvMissing) => StepRefusal::KvMissing,
         Ok(pb::Refusal::StaleAttempt) => StepRefusal::StaleAttempt,
--- a/reachtally-target/tests/target/failures.rs
+++ b/reachtally-target/tests/target/failures.rs
@@ -1,5 +1,5 @@
-//! Every way in which a call can fail, and what it proves. `docs/design/outcomes.md` has a row for
-//! each of these tests.
+//! Tests of what each kind of failed call proves about whether the call ran. `docs/design/outcomes.md` has a
+//! row for each of them.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -14,46 +14,46 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 
-/// What a target does with a connection.
+/// How a target handles a connection.
 #[derive(Debug, Clone, Copy)]
-enum Does {
-    /// Closes it at once.
+enum Behavior {
+    /// Closes it immediately.
     Close,
     /// Reads the whole request, then closes.
     ReadAndClose,
-    /// Reads the request and answers this.
+    /// Reads the request and sends this response.
     Answer(&'static str),
-    /// Reads the request and answers nothing.
+    /// Reads the request and never responds.
     Nothing,
 }
 
-/// A target on loopback that does the same with every connection.
-async fn target(does: Does) -> SocketAddr {
+/// Starts a target on loopback that handles every connection in the same way.
+async fn spawn_target(behavior: Behavior) -> SocketAddr {
     let listener = TcpListener::bind(("127.0.0.1", 0))
         .await
         .expect("a free port");
-    let address = listener.local_addr().expect("it is bound");
+    let address = listener.local_addr().expect("the listener is bound");
     tokio::spawn(async move {
         while let Ok((stream, _)) = listener.accept().await {
-            tokio::spawn(serve(stream, does));
+            tokio::spawn(serve(stream, behavior));
         }
     });
     address
 }
 
-async fn serve(mut stream: TcpStream, does: Does) {
-    if matches!(does, Does::Close) {
+async fn serve(mut stream: TcpStream, behavior: Behavior) {
+    if matches!(behavior, Behavior::Close) {
         return;
     }
     let mut buf = [0; 4096];
     let read = stream.read(&mut buf).await.unwrap_or(0);
-    assert!(read > 0, "a request came");
-    match does {
-        Does::Close | Does::ReadAndClose => {}
-        Does::Answer(text) => {
+    assert!(read > 0, "a request was received");
+    match behavior {
+        Behavior::Close | Behavior::ReadAndClose => {}
+        Behavior::Answer(text) => {
             stream.write_all(text.as_bytes()).await.ok();
         }
-        Does::Nothing => std::future::pending().await,
+        Behavior::Nothing => std::future::pending().await,
     }
 }
 
@@ -67,67 +67,75 @@
     }
 }
 
-async fn called(address: SocketAddr) -> Result<Answer, CallFailure> {
+async fn call_service(address: SocketAddr) -> Result<Answer, CallFailure> {
     let targets = HttpTargets::new().expect("a client");
     targets
         .call(&format!("http://{address}"), call(), None)
         .await
 }
 
-async fn stepped(address: SocketAddr) -> CallFailure {
+async fn call_engine(address: SocketAddr) -> CallFailure {
     let targets = HttpTargets::new().expect("a client");
     let result = targets
         .steps(&format!("http://{address}"), Batch::default())
         .await;
-    result.expect_err("it fails")
+    result.expect_err("the call fails")
 }
 
-async fn service_failure(does: Does) -> CallFailure {
-    called(target(does).await).await.expect_err("it fails")
+async fn service_failure(behavior: Behavior) -> CallFailure {
+    call_service(spawn_target(behavior).await)
+        .await
+        .expect_err("the call fails")
 }
 
 #[tokio::test]
-async fn a_refused_connection_proves_that_nothing_ran() {
-    let address = target(Does::Close).await;
+async fn a_refused_connection_proves_that_the_call_did_not_run() {
+    let address = spawn_target(Behavior::Close).await;
     let listener = TcpListener::bind(("127.0.0.1", 0))
         .await
         .expect("a free port");
-    let closed = listener.local_addr().expect("it is bound");
+    let closed = listener.local_addr().expect("the listener is bound");
     drop(listener);
-    let proof = CallFailure::NeverStarted(NeverStarted::ConnectFailed);
-    assert_eq!(called(closed).await, Err(proof));
-    assert_eq!(stepped(closed).await, proof);
-    assert_ne!(called(address).await, Err(proof));
+    let expected = CallFailure::NeverStarted(NeverStarted::ConnectFailed);
+    assert_eq!(call_service(closed).await, Err(expected));
+    assert_eq!(call_engine(closed).await, expected);
+    assert_ne!(call_service(address).await, Err(expected));
 }
 
 #[tokio::test]
 async fn a_reset_before_the_request_was_read_proves_nothing() {
-    assert_eq!(service_failure(Does::Close).await, CallFailure::Lost);
+    assert_eq!(service_failure(Behavior::Close).await, CallFailure::Lost);
 }
 
 #[tokio::test]
 async fn a_reset_after_the_request_was_read_proves_nothing() {
-    assert_eq!(service_failure(Does::ReadAndClose).await, CallFailure::Lost);
     assert_eq!(
-        stepped(target(Does::ReadAndClose).await).await,
+        service_failure(Behavior::ReadAndClose).await,
+        CallFailure::Lost
+    );
+    assert_eq!(
+        call_engine(spawn_target(Behavior::ReadAndClose).await).await,
         CallFailure::Lost
     );
 }
 
 #[tokio::test]
-async fn an_answer_that_never_comes_leaves_the_call_open_for_the_callers_deadline() {
-    let address = target(Does::Nothing).await;
-    let waited = tokio::time::timeout(Duration::from_millis(200), called(address)).await;
-    assert!(waited.is_err());
+async fn a_call_without_a_response_stays_open_until_the_callers_deadline() {
+    let address = spawn_target(Behavior::Nothing).await;
+    let result = tokio::time::timeout(Duration::from_millis(200), call_service(address)).await;
+    assert!(result.is_err());
 }
 
 #[tokio::test]
-async fn the_targets_own_word_proves_that_nothing_ran() {
+async fn the_not_run_header_proves_that_the_call_did_not_run() {
     let answer = "HTTP/1.1 503 Service Unavailable\r\nreachtally-outcome: not-run\r\n\
                   content-length: 0\r\n\r\n";
-    let proof = CallFailure::NeverStarted(NeverStarted::TargetSaidSo);
-    assert_eq!(service_failure(Does::Answer(answer)).await, proof);
-    assert_eq!(stepped(target(Does::Answer(answer)).await).await, proof);
+    let expected = CallFailure::NeverStarted(NeverStarted::TargetSaidSo);
+    assert_eq!(service_failure(Behavior::Answer(answer)).await, expected);
+    assert_eq!(
+        call_engine(spawn_target(Behavior::Answer(answer)).await).await,
+        expected
+    );
 }
 
 #[tokio::test]
@@ -139,47 +147,47 @@
     ] {
         let answer = format!("HTTP/1.1 {status}\r\ncontent-length: 0\r\n\r\n").leak();
         assert_eq!(
-            service_failure(Does::Answer(answer)).await,
+            service_failure(Behavior::Answer(answer)).await,
             CallFailure::Lost
         );
         assert_eq!(
-            stepped(target(Does::Answer(answer)).await).await,
+            call_engine(spawn_target(Behavior::Answer(answer)).await).await,
             CallFailure::Lost
         );
     }
 }
 
 #[tokio::test]
-async fn a_client_error_is_the_services_answer_and_no_engines() {
+async fn a_client_error_is_a_services_response_but_an_engines_failure() {
     let answer = "HTTP/1.1 404 Not Found\r\ncontent-length: 4\r\n\r\nnone";
-    let answered = called(target(Does::Answer(answer)).await)
+    let answered = call_service(spawn_target(Behavior::Answer(answer)).await)
         .await
         .expect("an answer");
     assert_eq!((answered.status, &answered.body[..]), (404, &b"none"[..]));
     assert_eq!(
-        stepped(target(Does::Answer(answer)).await).await,
+        call_engine(spawn_target(Behavior::Answer(answer)).await).await,
         CallFailure::Lost
     );
 }
 
 #[tokio::test]
-async fn an_answer_that_breaks_off_proves_nothing() {
+async fn a_truncated_response_proves_nothing() {
     let answer = "HTTP/1.1 200 OK\r\ncontent-length: 100\r\n\r\nhalf";
     assert_eq!(
-        service_failure(Does::Answer(answer)).await,
+        service_failure(Behavior::Answer(answer)).await,
         CallFailure::Lost
     );
     assert_eq!(
-        stepped(target(Does::Answer(answer)).await).await,
+        call_engine(spawn_target(Behavior::Answer(answer)).await).await,
         CallFailure::Lost
     );
 }
 
 #[tokio::test]
-async fn an_engines_answer_that_does_not_decode_proves_nothing() {
+async fn an_engine_response_that_can_not_be_decoded_proves_nothing() {
     let answer = "HTTP/1.1 200 OK\r\ncontent-length: 4\r\n\r\n\u{1}abc";
     assert_eq!(
-        stepped(target(Does::Answer(answer)).await).await,
+        call_engine(spawn_target(Behavior::Answer(answer)).await).await,
         CallFailure::Lost
     );
 }
--- a/reachtally-target/tests/target/wire.rs
+++ b/reachtally-target/tests/target/wire.rs
@@ -1,4 +1,4 @@
-//! Steps and results survive the way to an engine and back.
+//! Round trips of steps and results through the wire format.
 
 use bytes::Bytes;
 use reachtally_core::Incarnation;
@@ -28,7 +28,7 @@
 }
 
 #[test]
-fn a_batch_survives() {
+fn a_batch_round_trips() {
     let tokens = Input::Tokens {
         text: "draft".to_owned(),
         tokens: vec![1, u32::MAX],
@@ -43,12 +43,12 @@
             attempt: 9,
         }],
     };
-    let decoded = decode_batch(encode_batch(batch.clone()).into()).expect("it decodes");
+    let decoded = decode_batch(encode_batch(batch.clone()).into()).expect("the body decodes");
     assert_eq!(decoded, batch);
 }
 
 #[test]
-fn results_survive() {
+fn results_round_trip() {
     let result = |output| StepResult {
         request: id(1),
         attempt: 2,
@@ -69,12 +69,12 @@
         result(Err(StepRefusal::Busy)),
         result(Err(StepRefusal::Malformed)),
     ];
-    let decoded = decode_results(encode_results(results.clone()).into()).expect("it decodes");
+    let decoded = decode_results(encode_results(results.clone()).into()).expect("the body decodes");
     assert_eq!(decoded, results);
 }
 
 #[test]
-fn bytes_that_are_no_message_are_an_error() {
+fn invalid_messages_are_an_error() {
     assert!(decode_batch(Bytes::from_static(b"\x0a\xff")).is_err());
     assert!(decode_results(Bytes::from_static(b"\x0a\x00")).is_err());
 }
