--- a/reachtally-config/tests/config/declarations.rs
+++ b/reachtally-config/tests/config/declarations.rs
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn all_findings_are_reported_with_their_places() {
+fn all_findings_are_reported_with_their_positions() {
     let text = "\
 models:
   - {name: quote, layers: 12}
--- a/reachtally-config/tests/config/settings.rs
+++ b/reachtally-config/tests/config/settings.rs
@@ -24,7 +24,7 @@
 }
 
 #[test]
-fn all_findings_are_reported_with_their_places() {
+fn all_findings_are_reported_with_their_positions() {
     let text = "\
 box: b1
 callers: localhost
--- a/reachtally-journal/src/crowding.rs
+++ b/reachtally-journal/src/crowding.rs
@@ -79,12 +79,13 @@
         let refusals = refusals.or_default();
         refusals.sends += 1;
         refusals.layers = line.text("layers").to_owned();
-        let here = line.number("tokens");
-        let elsewhere = line.number("tokens_elsewhere");
-        let believed = here.zip(elsewhere);
-        refusals
-            .estimated_tokens
-            .extend(believed.map(|(here, elsewhere)| here.saturating_add(elsewhere)));
+        let local_tokens = line.number("tokens");
+        let remote_tokens = line.number("tokens_elsewhere");
+        let estimates = local_tokens.zip(remote_tokens);
+        refusals.estimated_tokens.extend(
+            estimates
+                .map(|(local_tokens, remote_tokens)| local_tokens.saturating_add(remote_tokens)),
+        );
     }
 
     fn record_denial(&mut self, line: &Line) {
--- a/reachtally-journal/tests/journal/main.rs
+++ b/reachtally-journal/tests/journal/main.rs
@@ -138,9 +138,9 @@
             r#"{{"t":1,"event":"answered","id":"r","late":true,"first_late":true,"expected_first_ms":{expected},"first_ms":{took},"targets":"{targets}"}}"#
         )
     };
-    let refused = |target, here, elsewhere| {
+    let refused = |target, local_tokens, remote_tokens| {
         format!(
-            r#"{{"t":2,"event":"target-refused","target":"{target}","layers":"0..28","tokens":{here},"tokens_elsewhere":{elsewhere}}}"#
+            r#"{{"t":2,"event":"target-refused","target":"{target}","layers":"0..28","tokens":{local_tokens},"tokens_elsewhere":{remote_tokens}}}"#
         )
     };
     let log = [
