--- a/reachtally-core/tests/core/forward/admission.rs
+++ b/reachtally-core/tests/core/forward/admission.rs
@@ -1,4 +1,4 @@
-//! Admission by rank: the rule, the queue, returns, and what callers get of a service that they want more of than there is.
+//! Tests of admission by rank: the verdict, the queue, retries, and the requests served per rank under overload.
 
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, VecDeque};
@@ -35,17 +35,17 @@
     }
 }
 
-/// A service that ten boxes send to, with slots for requests of all of them together.
+/// A service with a total number of slots that ten boxes share.
 struct Service {
     slots: usize,
-    /// Mean time that a request runs once it has a slot.
+    /// Mean service time of a request, from when it gets a slot.
     held: Duration,
     objective: Duration,
-    /// Whether instances queue requests beyond their slots, as plain services do.
+    /// Whether instances queue requests beyond their slots, as instances of plain services do.
     is_plain: bool,
 }
 
-/// Engines that hold requests for seconds.
+/// Engines with streams that last several seconds.
 const STREAMS: Service = Service {
     slots: 600,
     held: Duration::from_millis(3_000),
@@ -60,13 +60,13 @@
     is_plain: true,
 };
 const BOXES: usize = 10;
-/// Time between two reports of loads, which are known one report later.
+/// Interval of load reports. A report is applied one interval later.
 const REPORT_MS: u64 = 200;
 const STEP_MS: u64 = 2;
-const PLAYED_MS: u64 = 20_000;
-/// What is before does not count, for the service to fill.
-const COUNTED_FROM_MS: u64 = 5_000;
-/// The same after a burst: callers that were refused then have returned, and what they held up has ended.
+const SIMULATED_MS: u64 = 20_000;
+/// Start of measurement; before it, the service is still filling up.
+const MEASURED_FROM_MS: u64 = 5_000;
+/// Start of measurement after a burst: by then refused callers have retried and queued requests have ended.
 const SETTLED_FROM_MS: u64 = 16_000;
 
 #[derive(Clone, Copy)]
@@ -77,10 +77,10 @@
     number: u64,
 }
 
-struct PlayedBox {
+struct SimulatedBox {
     /// Requests of this box that run or wait at the service.
     own: usize,
-    /// Those of the others, as last told.
+    /// Requests of the other boxes, as last reported.
     others: usize,
     mix: Mix,
     pacer: Pacer,
@@ -89,14 +89,14 @@
     waiting: Vec<(QueuePosition, Request)>,
 }
 
-/// What callers got.
+/// Measured result of a simulation.
 #[derive(Debug, Default)]
 struct Outcome {
     offered: [u32; 3],
     in_time: [u32; 3],
-    /// Refusals while a twentieth of the slots was free.
-    refused_in_vain: u32,
-    /// Mean part of the slots in use.
+    /// Refusals while at least a twentieth of the slots was free.
+    refused_with_free_slots: u32,
+    /// Mean fraction of the slots in use.
     used: f64,
 }
 
@@ -106,12 +106,12 @@
     }
 }
 
-struct Play<'a> {
+struct Simulation<'a> {
     service: &'a Service,
     has_admission: bool,
-    counted_from: u64,
+    measured_from: u64,
     rng: ChaCha8Rng,
-    boxes: Vec<PlayedBox>,
+    boxes: Vec<SimulatedBox>,
     running: BinaryHeap<Reverse<(u64, usize)>>,
     waiting: VecDeque<(Request, usize)>,
     returns: BinaryHeap<Reverse<(u64, u64, u8, usize)>>,
@@ -119,7 +119,7 @@
     count: u64,
 }
 
-impl Play<'_> {
+impl Simulation<'_> {
     fn offer(&self, at: usize) -> Offer {
         let known = (self.boxes[at].own + self.boxes[at].others + 1) as f64;
         let used = known / self.service.slots as f64;
@@ -143,7 +143,7 @@
         order: Option<&QueuePosition>,
         now: u64,
     ) -> Verdict {
-        let judged_as = Class {
+        let class = Class {
             is_retry: req.is_retry,
             ..class(req.rank)
         };
@@ -171,7 +171,7 @@
             waited: ms(now - req.arrived),
         };
         match self.has_admission {
-            true => admit(judged_as, Some(offer), &cx),
+            true => admit(class, Some(offer), &cx),
             false => Verdict::Admit,
         }
     }
@@ -184,7 +184,7 @@
             is_retry,
             number: self.count,
         };
-        if !is_retry && now > self.counted_from {
+        if !is_retry && now > self.measured_from {
             self.outcome.offered[usize::from(rank)] += 1;
         }
         self.boxes[at].pacer.offered(Instant::from_elapsed(ms(now)));
@@ -198,7 +198,7 @@
     }
 
     fn wait(&mut self, at: usize, req: Request, now: u64) {
-        let entrant = QueuedRequest {
+        let queued_request = QueuedRequest {
             service: "s".into(),
             is_resumed: false,
             position: usize::from(req.rank),
@@ -206,7 +206,7 @@
             deadline: Instant::from_elapsed(ms(now + 10_000)),
             bytes: 1000,
         };
-        match self.boxes[at].queue.join(entrant, req) {
+        match self.boxes[at].queue.join(queued_request, req) {
             Ok((order, replaced)) => {
                 self.boxes[at].waiting.push((order, req));
                 for other in replaced {
@@ -231,8 +231,8 @@
             .next(drain, rate, left, draw, time)
             .as_millis() as u64;
         let is_free = (self.running.len() as f64) < 0.95 * self.service.slots as f64;
-        self.outcome.refused_in_vain += u32::from(now > self.counted_from && is_free);
-        // Callers return once.
+        self.outcome.refused_with_free_slots += u32::from(now > self.measured_from && is_free);
+        // Callers retry once.
         if req.is_retry {
             return;
         }
@@ -248,7 +248,7 @@
         self.waiting.push_back((req, at));
     }
 
-    /// Lets those that wait in a box in, in order, while they are admitted.
+    /// Retries the queued requests of a box in order and sends those that are admitted.
     fn look(&mut self, at: usize, now: u64) {
         self.boxes[at].waiting.sort_by_key(|(order, _)| *order);
         for (order, req) in self.boxes[at].waiting.clone() {
@@ -266,7 +266,7 @@
         }
     }
 
-    /// Ends what is over and gives free slots to those that wait at the service.
+    /// Ends finished requests and gives free slots to the requests that wait at the service.
     fn serve(&mut self, now: u64) {
         while let Some(&Reverse((end, at))) = self.running.peek()
             && end <= now
@@ -284,35 +284,35 @@
             self.running.push(Reverse((now + runs.max(1), at)));
             let answered = now - req.arrived + if self.service.is_plain { runs } else { 0 };
             let is_late = ms(answered) > self.service.objective;
-            if now > self.counted_from && !is_late {
+            if now > self.measured_from && !is_late {
                 self.outcome.in_time[usize::from(req.rank)] += 1;
             }
         }
     }
 
-    fn report(&mut self, told: &mut Vec<usize>) {
-        let all: usize = told.iter().sum();
-        for (each, own) in self.boxes.iter_mut().zip(told.iter()) {
+    fn report(&mut self, reported: &mut Vec<usize>) {
+        let all: usize = reported.iter().sum();
+        for (each, own) in self.boxes.iter_mut().zip(reported.iter()) {
             each.others = all - own;
         }
-        *told = self.boxes.iter().map(|each| each.own).collect();
+        *reported = self.boxes.iter().map(|each| each.own).collect();
     }
 }
 
-/// Callers want `times` of what the service can answer, by rank in these parts.
+/// Simulates a constant demand of `times` the capacity, split by rank into `parts`.
 fn play(service: &Service, times: f64, parts: [f64; 3], has_admission: bool) -> Outcome {
-    play_changing(service, |_| times, parts, has_admission, COUNTED_FROM_MS)
+    simulate_varying(service, |_| times, parts, has_admission, MEASURED_FROM_MS)
 }
 
-/// The same with a demand that changes with the time in ms.
-fn play_changing(
+/// Simulates a demand that changes over time (in ms).
+fn simulate_varying(
     service: &Service,
     times: impl Fn(u64) -> f64,
     parts: [f64; 3],
     has_admission: bool,
-    counted_from: u64,
+    measured_from: u64,
 ) -> Outcome {
-    let new_box = || PlayedBox {
+    let new_box = || SimulatedBox {
         own: 0,
         others: 0,
         mix: Mix::default(),
@@ -324,10 +324,10 @@
         }),
         waiting: Vec::new(),
     };
-    let mut play = Play {
+    let mut play = Simulation {
         service,
         has_admission,
-        counted_from,
+        measured_from,
         rng: ChaCha8Rng::seed_from_u64(7),
         boxes: (0..BOXES).map(|_| new_box()).collect(),
         running: BinaryHeap::new(),
@@ -337,12 +337,12 @@
         count: 0,
     };
     let capacity = service.slots as f64 / service.held.as_secs_f64();
-    let mut told = vec![0; BOXES];
-    let mut looked = 0;
-    for now in (0..PLAYED_MS).step_by(STEP_MS as usize) {
+    let mut reported = vec![0; BOXES];
+    let mut samples = 0;
+    for now in (0..SIMULATED_MS).step_by(STEP_MS as usize) {
         play.serve(now);
         if now % REPORT_MS == 0 {
-            play.report(&mut told);
+            play.report(&mut reported);
             (0..BOXES).for_each(|at| play.look(at, now));
         }
         while let Some(&Reverse((due, _, rank, at))) = play.returns.peek()
@@ -361,19 +361,20 @@
                 rate -= 1.0;
             }
         }
-        if now > play.counted_from {
-            looked += 1;
+        if now > play.measured_from {
+            samples += 1;
             play.outcome.used += play.running.len() as f64 / service.slots as f64;
         }
     }
-    play.outcome.used /= f64::from(looked);
+    play.outcome.used /= f64::from(samples);
     play.outcome
 }
 
 const MIXED: [f64; 3] = [0.2, 0.3, 0.5];
 const MOSTLY_LEAST: [f64; 3] = [0.05, 0.05, 0.9];
 
-/// Without admission nobody is answered in time; with it the most urgent are, and nobody is behind a less urgent rank.
+/// Without admission no rank is answered in time. With it, the most urgent rank is, and no rank does worse than a
+/// less urgent one.
 #[test]
 fn under_overload_ranks_are_served_in_order_and_capacity_is_used() {
     for service in [&STREAMS, &PLAIN] {
@@ -396,15 +397,15 @@
 }
 
 #[test]
-fn nothing_is_refused_below_capacity() {
+fn no_refusals_below_capacity() {
     for service in [&STREAMS, &PLAIN] {
         let outcome = play(service, 0.8, MIXED, true);
-        assert_eq!(outcome.refused_in_vain, 0, "{outcome:?}");
+        assert_eq!(outcome.refused_with_free_slots, 0, "{outcome:?}");
     }
 }
 
-/// Numbers without reason, among others.
-fn numbers() -> impl Strategy<Value = f64> {
+/// Mostly plausible numbers, with arbitrary floats (NaN, infinities) among them.
+fn arbitrary_floats() -> impl Strategy<Value = f64> {
     prop_oneof![
         4 => 0.0..2.0f64,
         1 => prop::num::f64::ANY,
@@ -420,13 +421,13 @@
 }
 
 prop_compose! {
-    fn paces()(level in numbers(), demand in numbers(), growth in numbers(), rate in numbers(), burst in numbers()) -> Pace {
+    fn paces()(level in arbitrary_floats(), demand in arbitrary_floats(), growth in arbitrary_floats(), rate in arbitrary_floats(), burst in arbitrary_floats()) -> Pace {
         Pace { level, demand, growth, rate, burst }
     }
 }
 
 prop_compose! {
-    fn offers()(used in numbers(), first in durations()) -> Offer {
+    fn offers()(used in arbitrary_floats(), first in durations()) -> Offer {
         Offer { used, first }
     }
 }
@@ -444,7 +445,7 @@
     #![proptest_config(ProptestConfig { cases: 2000, rng_seed: RngSeed::Fixed(12), failure_persistence: None, ..ProptestConfig::default() })]
 
     #[test]
-    fn a_more_urgent_rank_never_does_worse_under_the_same_offer(
+    fn more_urgent_rank_never_gets_a_worse_verdict(
         used in 0.0..3.0f64, level in -1.5..1.5f64, demand in prop_oneof![9 => 0.0..5.0f64, 1 => Just(f64::INFINITY)], growth in 0.0..2.0f64, rate in 0.0..50.0f64,
         mix in prop::collection::vec(0.0..1.0f64, 4), held in 1u64..5_000, waited in 0u64..500, ahead in 0usize..5, is_retry: bool,
     ) {
@@ -462,9 +463,10 @@
         let classes = [class(0), class(1), class(2), beyond];
         let verdicts = classes.map(|class| severity(admit(Class { is_retry, ..class }, offer, &cx)));
         prop_assert!(verdicts.is_sorted(), "{verdicts:?}");
-        // Others leave the most urgent as much as it may take in advance, also while nothing may be admitted.
+        // The most urgent rank may always use its burst allowance, unless the level is below it or others are ahead
+        // in the queue.
         prop_assert!(verdicts[0] == 0 || level < -1.0 || ahead > 0);
-        // A request that returns does no worse than before, and no better than the next more urgent rank.
+        // A retry does no worse than a first attempt, and no better than the next more urgent rank.
         let of = |rank, is_retry| severity(admit(Class { is_retry, ..class(rank) }, offer, &cx));
         for rank in 1..3 {
             prop_assert!((of(rank - 1, false)..=of(rank, false)).contains(&of(rank, true)));
@@ -472,7 +474,7 @@
     }
 
     #[test]
-    fn use_below_the_limit_always_admits(part in 0.0..1.0f64, mix in prop::collection::vec(0.0..1.0f64, 3), held in durations(), rank in 0u8..3) {
+    fn utilization_below_the_limit_always_admits(part in 0.0..1.0f64, mix in prop::collection::vec(0.0..1.0f64, 3), held in durations(), rank in 0u8..3) {
         let pace = Pace { level: -2.0, demand: 9.0, growth: 0.0, rate: 0.0, burst: 1.0 };
         let cx = Conditions { held, reaction: REACTION, mix: &mix, objective: ms(500), waited: ms(10), pace, ahead: 9 };
         let used = part * (1.0 - reserve(class(rank), &cx));
@@ -483,10 +485,10 @@
     }
 
     #[test]
-    fn numbers_without_reason_do_no_harm(
-        offer in prop::option::of(offers()), mix in prop::collection::vec(numbers(), 0..5), held in durations(), reaction in durations(),
+    fn arbitrary_numbers_cause_no_panic_and_stay_within_bounds(
+        offer in prop::option::of(offers()), mix in prop::collection::vec(arbitrary_floats(), 0..5), held in durations(), reaction in durations(),
         objective in durations(), waited in durations(), pace in paces(), ahead: usize, rank: u8, is_retry: bool, is_resumed: bool,
-        slots_used in numbers(), own in numbers(), all in numbers(), boxes: u32,
+        slots_used in arbitrary_floats(), own in arbitrary_floats(), all in arbitrary_floats(), boxes: u32,
     ) {
         let cx = Conditions { held, reaction, mix: &mix, objective, waited, pace, ahead };
         let class = Class { is_retry, is_resumed, ..class(rank) };
@@ -498,15 +500,15 @@
         let found = Instance { engine: EngineKey::default(), used: slots_used };
         instance_offer(&found, held, objective);
         let mut pacer = Pacer::default();
-        let looked = pacer.look(slots_used, Running { own, all, boxes }, reaction, at(5));
+        let paced = pacer.look(slots_used, Running { own, all, boxes }, reaction, at(5));
         pacer.admitted();
-        prop_assert!(looked.burst >= 1.0 && looked.burst.is_finite(), "{looked:?}");
-        let after = RetrySchedule::default().next(held, looked.rate, objective, 7, at(5));
+        prop_assert!(paced.burst >= 1.0 && paced.burst.is_finite(), "{paced:?}");
+        let after = RetrySchedule::default().next(held, paced.rate, objective, 7, at(5));
         prop_assert!(after <= MAX_RETRY_AFTER);
     }
 }
 
-fn entrant(position: usize, account: &str, deadline: u64) -> QueuedRequest {
+fn queued_request(position: usize, account: &str, deadline: u64) -> QueuedRequest {
     QueuedRequest {
         service: "s".into(),
         is_resumed: false,
@@ -517,8 +519,8 @@
     }
 }
 
-/// The names of those that wait, in order.
-fn in_order(mut queue: Queue<&'static str>, orders: &[QueuePosition]) -> Vec<&'static str> {
+/// Payloads of the queued requests, in queue order.
+fn drain_in_order(mut queue: Queue<&'static str>, orders: &[QueuePosition]) -> Vec<&'static str> {
     let mut sorted = orders.to_vec();
     sorted.sort();
     sorted
@@ -528,24 +530,24 @@
 }
 
 #[test]
-fn the_queue_goes_by_resumed_streams_then_rank_then_account_then_deadline() {
+fn queue_orders_by_resumed_streams_then_rank_then_account_then_deadline() {
     let mut queue = Queue::new(Bounds {
         count: 9,
         bytes: 10_000,
     });
     let resumed = QueuedRequest {
         is_resumed: true,
-        ..entrant(1, "a", 900)
+        ..queued_request(1, "a", 900)
     };
     let joined = [
-        (entrant(1, "a", 100), "less urgent"),
-        (entrant(0, "a", 500), "first of a"),
-        (entrant(0, "a", 400), "second of a"),
-        (entrant(0, "b", 600), "first of b"),
-        (entrant(0, "c", 300), "first of c, due sooner"),
+        (queued_request(1, "a", 100), "less urgent"),
+        (queued_request(0, "a", 500), "first of a"),
+        (queued_request(0, "a", 400), "second of a"),
+        (queued_request(0, "b", 600), "first of b"),
+        (queued_request(0, "c", 300), "first of c, due sooner"),
         (resumed, "resumed"),
     ];
-    let join = |(entrant, name)| queue.join(entrant, name).expect("it has a place").0;
+    let join = |(req, name)| queue.join(req, name).expect("the queue has room").0;
     let orders: Vec<QueuePosition> = joined.into_iter().map(join).collect();
     let expected = [
         "resumed",
@@ -555,41 +557,45 @@
         "second of a",
         "less urgent",
     ];
-    assert_eq!(in_order(queue, &orders), expected);
+    assert_eq!(drain_in_order(queue, &orders), expected);
 }
 
 #[test]
-fn a_full_queue_takes_only_what_is_before_its_last() {
+fn full_queue_accepts_only_requests_ahead_of_its_last() {
     let mut queue = Queue::new(Bounds {
         count: 2,
         bytes: 250,
     });
-    queue.join(entrant(1, "a", 100), "a").expect("it is empty");
+    queue
+        .join(queued_request(1, "a", 100), "a")
+        .expect("the queue is empty");
     let (last, _) = queue
-        .join(entrant(2, "b", 100), "b")
-        .expect("there is room");
-    assert_eq!(queue.join(entrant(2, "c", 200), "c"), Err(QueueFull));
+        .join(queued_request(2, "b", 100), "b")
+        .expect("the queue has room");
+    assert_eq!(queue.join(queued_request(2, "c", 200), "c"), Err(QueueFull));
     let (_, replaced) = queue
-        .join(entrant(0, "d", 900), "d")
-        .expect("it is more urgent");
+        .join(queued_request(0, "d", 900), "d")
+        .expect("a more urgent request replaces the last one");
     assert_eq!(replaced, ["b"]);
     assert!(!queue.has(&last));
     let large = QueuedRequest {
         bytes: 200,
-        ..entrant(0, "e", 1)
+        ..queued_request(0, "e", 1)
     };
-    let (_, replaced) = queue.join(large, "e").expect("it is before all");
+    let (_, replaced) = queue
+        .join(large, "e")
+        .expect("the request is ahead of all others");
     assert_eq!(replaced, ["a", "d"]);
     assert_eq!((queue.len(), queue.bytes()), (1, 200));
     let huge = QueuedRequest {
         bytes: 251,
-        ..entrant(0, "f", 0)
+        ..queued_request(0, "f", 0)
     };
     assert_eq!(queue.join(huge, "f"), Err(QueueFull));
 }
 
 #[test]
-fn callers_return_one_after_the_other_and_within_a_third_of_their_time() {
+fn retries_are_spaced_and_fall_within_a_third_of_the_time_left() {
     let mut schedule = RetrySchedule::default();
     let mut next = |draw| schedule.next(ms(100), 50.0, ms(6_000), draw, at(1_000));
     let first: Vec<u128> = (0..3).map(|draw| next(draw).as_millis()).collect();
@@ -597,12 +603,12 @@
     let mut late: Vec<u128> = (0..1_000).map(|draw| next(draw).as_millis()).collect();
     late.sort();
     let most = late.windows(100).map(|window| window[99] - window[0]).min();
-    assert!(most >= Some(90), "a hundred return within {most:?} ms");
+    assert!(most >= Some(90), "100 callers retry within {most:?} ms");
     assert!(late.last() <= Some(&2_000));
 }
 
 #[test]
-fn a_request_returns_once_and_not_earlier_than_told() {
+fn request_counts_as_retry_once_and_not_before_retry_after() {
     let request = |number| Fingerprint([number; FINGERPRINT_BYTES]);
     let mut returns = RefusedRequests::default();
     returns.tell(request(1), at(500), at(0));
@@ -610,33 +616,32 @@
     assert!(!returns.take(request(1), at(499)));
     assert!(returns.take(request(1), at(500)));
     assert!(!returns.take(request(1), at(501)));
-    assert!(!returns.take(request(2), at(10_000)), "it is forgotten");
+    assert!(
+        !returns.take(request(2), at(10_000)),
+        "the entry has expired"
+    );
     assert!(returns.is_empty());
 }
 
-/// Refused callers return, which must not look like demand that goes on: refusals would cause themselves.
+/// Guards against counting retries of refused callers as continuing demand: refusals would then cause further
+/// refusals.
 #[test]
-fn after_a_burst_nothing_is_refused_while_capacity_is_free() {
+fn no_refusals_with_free_capacity_after_a_burst() {
     for service in [&STREAMS, &PLAIN] {
         let (mut offered, mut refused) = (0, 0);
         for burst in [2.0, 3.0, 4.0] {
             let is_burst = |now| (2_000..6_000).contains(&now);
             let times = |now| if is_burst(now) { burst } else { 0.8 };
-            let outcome = play_changing(service, times, MIXED, true, SETTLED_FROM_MS);
+            let outcome = simulate_varying(service, times, MIXED, true, SETTLED_FROM_MS);
             offered += outcome.offered.iter().sum::<u32>();
-            refused += outcome.refused_in_vain;
+            refused += outcome.refused_with_free_slots;
         }
         assert!(refused * 1000 <= offered, "{refused} of {offered}");
     }
 }
 
-/// The bound after `seconds` of 20 sends a second, of which each `refused_of`th is refused.
-fn booked_after(
-    booking: &mut OverbookingLimit,
-    from_ms: u64,
-    seconds: u64,
-    refused_of: u64,
-) -> f64 {
+/// The bound after `seconds` of 20 sends a second, of which one in `refused_of` is refused.
+fn bound_after(booking: &mut OverbookingLimit, from_ms: u64, seconds: u64, refused_of: u64) -> f64 {
     let sends = (0..seconds * 20).map(|number| (number, at(from_ms + number * 50)));
     for (number, now) in sends {
         booking.sent(now);
@@ -648,19 +653,19 @@
 }
 
 #[test]
-fn less_is_booked_while_engines_refuse_and_as_much_as_before_once_they_do_not() {
+fn overbooking_falls_while_engines_refuse_and_recovers_afterwards() {
     let mut booking = OverbookingLimit::default();
     let most = booking.bound(at(0));
     assert!(most > 1.2, "{most}");
-    assert_eq!(booked_after(&mut booking, 0, 5, 50), most);
-    let some = booked_after(&mut booking, 5_000, 3, 6);
+    assert_eq!(bound_after(&mut booking, 0, 5, 50), most);
+    let some = bound_after(&mut booking, 5_000, 3, 6);
     assert!(some > 1.0 && some < most, "{some}");
-    assert_eq!(booked_after(&mut booking, 8_000, 3, 2), 1.0);
-    assert_eq!(booked_after(&mut booking, 11_000, 6, 1_000), most);
+    assert_eq!(bound_after(&mut booking, 8_000, 3, 2), 1.0);
+    assert_eq!(bound_after(&mut booking, 11_000, 6, 1_000), most);
 }
 
 #[test]
-fn one_refusal_on_a_box_with_few_requests_changes_little() {
+fn single_refusal_on_an_idle_box_barely_lowers_overbooking() {
     let mut booking = OverbookingLimit::default();
     let most = booking.bound(at(0));
     booking.sent(at(0));
--- a/reachtally-core/tests/core/forward/budget.rs
+++ b/reachtally-core/tests/core/forward/budget.rs
@@ -1,4 +1,4 @@
-//! The budget of second sends.
+//! Tests of the retry budget that all boxes share.
 
 use std::time::Duration;
 
@@ -17,7 +17,7 @@
     Instant::from_elapsed(Duration::from_millis(ms))
 }
 
-/// Second sends that a box may make at `now`.
+/// Number of retries that a box may send at `now`.
 fn taken(budget: &mut SharedRetryBudget, now: Instant, boxes: u32) -> u32 {
     let mut count = 0;
     while budget.take(now, &BOUNDS, boxes) {
@@ -27,7 +27,7 @@
 }
 
 #[test]
-fn boxes_together_stay_within_the_bound() {
+fn boxes_together_stay_within_the_retry_bound() {
     for boxes in [1, 3, 8, 100] {
         let firsts = 400;
         let mut sum = 0;
@@ -41,13 +41,13 @@
         let bound = BOUNDS.ratio * f64::from(firsts) + BOUNDS.slack;
         assert!(
             f64::from(sum) <= bound,
-            "{boxes} boxes took {sum} of {bound}"
+            "{boxes} boxes sent {sum} retries, allowed {bound}"
         );
     }
 }
 
 #[test]
-fn no_window_holds_more_than_the_bound_wherever_it_lies() {
+fn no_sliding_window_exceeds_the_bound() {
     let mut budget = SharedRetryBudget::default();
     let mut taken_at = Vec::new();
     for ms in (0..60_000).step_by(37) {
@@ -72,7 +72,7 @@
 }
 
 #[test]
-fn what_left_the_window_can_be_taken_again() {
+fn budget_recovers_once_retries_leave_the_window() {
     let mut budget = SharedRetryBudget::default();
     let first = taken(&mut budget, at(0), 8);
     assert!(first > 0);
@@ -80,10 +80,10 @@
     assert_eq!(taken(&mut budget, at(11_000), 8), first);
 }
 
-/// Figures before: 295 boxes that were all killed and started again made 3,283 second sends in 10 s where 2,343
-/// were allowed, most of them in the first two seconds.
+/// Guards against boxes that restart together and exceed the shared budget. 295 boxes that were all killed and
+/// restarted sent 3,283 retries in 10 s where 2,343 were allowed, most of them in the first two seconds.
 #[test]
-fn boxes_that_all_start_again_stay_within_the_bound() {
+fn boxes_that_restart_together_stay_within_the_bound() {
     let boxes = 100;
     let bounds = BudgetBounds {
         slack: 774.0,
@@ -91,7 +91,7 @@
     };
     let mut taken_at = Vec::new();
     for life in [0, 20_000, 21_500] {
-        // The last two lives share a window.
+        // The last two runs share a window.
         let until = if life == 20_000 {
             21_400
         } else {
@@ -116,14 +116,14 @@
     assert!(taken_at.len() > 700, "{}", taken_at.len());
 }
 
-/// Requests a second of the whole fleet in [`second_sends_around_a_start_of_all_boxes_stay_within_the_bound`].
+/// Requests a second of all boxes together in [`retries_around_a_restart_of_all_boxes_stay_within_the_bound`].
 const REQUESTS_PER_S: f64 = 700.0;
-/// Time between two looks at whether a box needs a second send.
+/// Interval at which a box checks whether it needs a retry.
 const STEP_MS: u64 = 50;
 
-/// Second sends of `boxes` boxes, by time, that all start at 0, need none until `fail_ms`, take what they may from then
-/// on, and all start again at `restart_ms`.
-fn sends_around_a_start(
+/// Times of the retries of `boxes` boxes that all start at 0, need none until `fail_ms`, send as many as the budget
+/// allows from then on, and all restart at `restart_ms`.
+fn retries_around_a_restart(
     boxes: u32,
     bounds: &BudgetBounds,
     fail_ms: u64,
@@ -133,7 +133,7 @@
     let mut sends = Vec::new();
     for number in 0..boxes {
         let mut budget = SharedRetryBudget::starting_at(at(0));
-        // The boxes' requests arrive evenly between each other.
+        // The requests of the boxes are evenly staggered.
         let mut next_ms = gap_ms * f64::from(number) / f64::from(boxes);
         for ms in (0..restart_ms + 12_000).step_by(STEP_MS as usize) {
             if ms == restart_ms {
@@ -152,7 +152,7 @@
     sends
 }
 
-/// Most of `sends` in any window.
+/// Largest number of `sends` in any window.
 fn most_in_a_window(sends: &[u64], window: Duration) -> usize {
     let width = window.as_millis() as u64;
     let after = |index: usize| sends.partition_point(|ms| *ms < sends[index] + width);
@@ -162,20 +162,19 @@
         .unwrap_or_default()
 }
 
-/// What users saw: in the ten seconds around a stop of all boxes, engines got 2,285 requests a second time or more often,
-/// where 2,176 were allowed. A request that came just after the boxes had started again went to four engines within
-/// 0.6 s, and each turned it away as full.
+/// Guards against a restart that forgets retries of the current window. In the ten seconds around a restart of all
+/// boxes, engines received 2,285 retries where 2,176 were allowed; a request that arrived right after the restart
+/// went to four engines within 0.6 s, and each refused it as full.
 ///
-/// The order of events: engines died; the boxes, which had needed few second sends until then, took the whole
-/// share of a window within a moment; all boxes started again seconds later, and each next run began with
-/// nothing counted, while what the run before had taken was still in the window.
+/// Engines had failed shortly before; the boxes, which had needed few retries until then, spent the whole share of a
+/// window at once. After the restart each run began with an empty count, while the retries of the run before were
+/// still in the window.
 ///
-/// The evidence: played by this test, 295 boxes that all know their number stay within the bound (2,065 of
-/// 2,174) if they all start again 9 s or more after engines began to fail, and take 2,360, 2,655 and 2,950 if they do so
-/// after 6, 4 and 2 s. So neither the number believed nor the rate of requests is the cause, but what a start
-/// forgets.
+/// In this simulation, 295 boxes that all know their number stay within the bound (2,065 of 2,174) if they restart 9
+/// s or more after engines begin to fail, and send 2,360, 2,655 and 2,950 retries if they restart after 6, 4 and 2 s.
+/// So the cause is neither the assumed number of boxes nor the request rate, but the state that a restart loses.
 #[test]
-fn second_sends_around_a_start_of_all_boxes_stay_within_the_bound() {
+fn retries_around_a_restart_of_all_boxes_stay_within_the_bound() {
     let boxes = 295;
     let bounds = BudgetBounds {
         slack: 774.0,
@@ -183,54 +182,54 @@
     };
     let allowed = bounds.ratio * REQUESTS_PER_S * bounds.window.as_secs_f64() + bounds.slack;
     for after_ms in [500, 2_000, 4_000, 6_000, 9_000] {
-        let sends = sends_around_a_start(boxes, &bounds, 27_000, 27_000 + after_ms);
+        let sends = retries_around_a_restart(boxes, &bounds, 27_000, 27_000 + after_ms);
         let most = most_in_a_window(&sends, bounds.window);
         assert!(
             most as f64 <= allowed,
-            "{most} of {allowed} where all start again {after_ms} ms after engines begin to fail"
+            "{most} retries of {allowed} allowed, with a restart {after_ms} ms after engines begin to fail"
         );
         let served = sends.iter().filter(|ms| **ms < 27_000 + after_ms).count();
-        assert!(served > 700, "{served} before the boxes start again");
+        assert!(served > 700, "{served} retries before the restart");
     }
 }
 
-/// How long a play of [`whenever_boxes_start_again_no_window_exceeds_the_bound`] lasts.
-const PLAY_MS: u64 = 45_000;
+/// End of a simulation of [`no_window_exceeds_the_bound_whenever_boxes_restart`].
+const END_MS: u64 = 45_000;
 
-/// One box of such a play.
+/// One simulated box.
 #[derive(Debug, Clone)]
-struct Played {
-    /// Time between two requests.
+struct SimulatedBox {
+    /// Interval of its requests.
     gap_ms: u64,
-    /// When it starts again.
+    /// Times at which it restarts.
     starts_ms: Vec<u64>,
-    /// It takes what it may from here on.
+    /// From here on it sends as many retries as the budget allows.
     fails_ms: u64,
 }
 
-fn any_box() -> impl Strategy<Value = Played> {
-    let starts = prop::collection::vec(0..PLAY_MS, 0..6);
-    (100..2_000_u64, starts, 0..PLAY_MS).prop_map(|(gap_ms, starts_ms, fails_ms)| Played {
+fn simulated_box() -> impl Strategy<Value = SimulatedBox> {
+    let starts = prop::collection::vec(0..END_MS, 0..6);
+    (100..2_000_u64, starts, 0..END_MS).prop_map(|(gap_ms, starts_ms, fails_ms)| SimulatedBox {
         gap_ms,
         starts_ms,
         fails_ms,
     })
 }
 
-/// First and second sends of a box, by time.
-fn play(played: &Played, bounds: &BudgetBounds, boxes: u32) -> (Vec<u64>, Vec<u64>) {
+/// Times of the first sends and of the retries of a box.
+fn play(simulated: &SimulatedBox, bounds: &BudgetBounds, boxes: u32) -> (Vec<u64>, Vec<u64>) {
     let mut budget = SharedRetryBudget::starting_at(at(0));
     let (mut firsts, mut seconds) = (Vec::new(), Vec::new());
-    for ms in (0..PLAY_MS).step_by(STEP_MS as usize) {
+    for ms in (0..END_MS).step_by(STEP_MS as usize) {
         let step = ms..ms + STEP_MS;
-        if played.starts_ms.iter().any(|start| step.contains(start)) {
+        if simulated.starts_ms.iter().any(|start| step.contains(start)) {
             budget = SharedRetryBudget::starting_at(at(ms));
         }
-        if ms % played.gap_ms < STEP_MS {
+        if ms % simulated.gap_ms < STEP_MS {
             budget.first(at(ms), bounds);
             firsts.push(ms);
         }
-        while ms >= played.fails_ms && budget.take(at(ms), bounds, boxes) {
+        while ms >= simulated.fails_ms && budget.take(at(ms), bounds, boxes) {
             seconds.push(ms);
         }
     }
@@ -245,10 +244,10 @@
     })]
 
     #[test]
-    fn whenever_boxes_start_again_no_window_exceeds_the_bound(played in prop::collection::vec(any_box(), 1..25)) {
-        let boxes = played.len() as u32;
+    fn no_window_exceeds_the_bound_whenever_boxes_restart(simulated in prop::collection::vec(simulated_box(), 1..25)) {
+        let boxes = simulated.len() as u32;
         let (mut firsts, mut seconds) = (Vec::new(), Vec::new());
-        for each in &played {
+        for each in &simulated {
             let sends = play(each, &BOUNDS, boxes);
             firsts.extend(sends.0);
             seconds.extend(sends.1);
@@ -258,8 +257,8 @@
             let inside = |ms: &&u64| (from..from + width).contains(&(**ms as i64));
             sends.iter().filter(inside).count() as f64
         };
-        for from in (0..PLAY_MS as i64).step_by(250) {
-            // Requests of the window, of the one before, and of the one half before, whichever are most.
+        for from in (0..END_MS as i64).step_by(250) {
+            // The largest number of requests in this window, in the one before, or in the one half a window earlier.
             let counted = [from, from - width, from - width / 2].map(|from| within(&firsts, from));
             let most = counted.into_iter().fold(0.0, f64::max);
             let allowed = BOUNDS.ratio * most + BOUNDS.slack;
--- a/reachtally-core/tests/core/forward/changes.rs
+++ b/reachtally-core/tests/core/forward/changes.rs
@@ -1,4 +1,4 @@
-//! The changes of targets that boxes tell each other.
+//! Tests of the log of changed targets that boxes replicate to each other.
 
 use reachtally_core::forward::changes::{ChangeLog, Cursor, Delta};
 
@@ -9,7 +9,7 @@
 }
 
 #[test]
-fn a_box_hears_each_target_that_changed_once() {
+fn each_changed_target_is_listed_once() {
     let mut changes = ChangeLog::default();
     for id in ["a", "b", "a"] {
         changes.record(id.into());
@@ -20,14 +20,14 @@
 }
 
 #[test]
-fn a_box_that_followed_another_run_gets_everything() {
+fn cursor_of_another_run_gets_the_whole_table() {
     let changes = ChangeLog::default();
     let other = Cursor { run: 8, next: 0 };
     assert_eq!(changes.since(other, RUN), Delta::Whole);
 }
 
 #[test]
-fn a_box_that_is_too_far_behind_gets_everything() {
+fn cursor_too_far_behind_gets_the_whole_table() {
     let mut changes = ChangeLog::default();
     for number in 0..20_000 {
         changes.record(format!("e{number}").into());
--- a/reachtally-core/tests/core/forward/choice_properties.rs
+++ b/reachtally-core/tests/core/forward/choice_properties.rs
@@ -1,4 +1,4 @@
-//! What holds of a choice whatever the fleet and its load.
+//! Properties of path selection for any fleet and load.
 
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
@@ -7,21 +7,22 @@
 
 use super::setup::{NEED, SERVICE, cx, entry, fleet, model};
 
-/// Layers of each engine.
-const EACH: u32 = 20;
-/// Requests that are chosen for with different draws.
+/// Layers per engine.
+const LAYERS_PER_ENGINE: u32 = 20;
+/// Requests per fleet, each with a different draw.
 const DRAWS: u64 = 200;
 
-/// Copies of four ranges on middle cards, so that each engine has `used[copy][range]` of its room in use.
-fn copies(used: &[[f64; 4]]) -> (Fleet, Vec<EngineKey>) {
+/// Builds replicas of four layer ranges on middle cards; `used[replica][range]` is the fraction of an engine's KV
+/// capacity in use.
+fn replicas(used: &[[f64; 4]]) -> (Fleet, Vec<EngineKey>) {
     let numbered = (0..used.len() as u16 * 4).map(|number| {
-        let from = u32::from(number % 4) * EACH;
-        entry(number, "a", "middle", from..from + EACH)
+        let from = u32::from(number % 4) * LAYERS_PER_ENGINE;
+        entry(number, "a", "middle", from..from + LAYERS_PER_ENGINE)
     });
     let (mut fleet, keys) = fleet(numbered);
-    let room = model().kv_tokens(&model().cards["middle"], EACH);
+    let capacity = model().kv_tokens(&model().cards["middle"], LAYERS_PER_ENGINE);
     for (key, used) in keys.iter().zip(used.iter().flatten()) {
-        fleet.begin(&[*key], used * room);
+        fleet.begin(&[*key], used * capacity);
     }
     (fleet, keys)
 }
@@ -32,14 +33,14 @@
     Some(choice.path.engines())
 }
 
-/// Requests that an engine takes part in.
-fn chosen(fleet: &Fleet, key: EngineKey) -> usize {
-    let takes_part = |draw: &u64| choose(fleet, *draw).is_some_and(|path| path.contains(&key));
-    (0..DRAWS).filter(takes_part).count()
+/// Number of requests whose path includes the engine.
+fn times_chosen(fleet: &Fleet, key: EngineKey) -> usize {
+    let is_included = |draw: &u64| choose(fleet, *draw).is_some_and(|path| path.contains(&key));
+    (0..DRAWS).filter(is_included).count()
 }
 
-/// Parts of the room in use, of two to five copies.
-fn uses() -> impl Strategy<Value = Vec<[f64; 4]>> {
+/// Fractions of KV capacity in use, for two to five replicas.
+fn utilizations() -> impl Strategy<Value = Vec<[f64; 4]>> {
     prop::collection::vec(prop::array::uniform4(0.0..1.5f64), 2..6)
 }
 
@@ -47,31 +48,31 @@
     #![proptest_config(ProptestConfig { cases: 48, rng_seed: RngSeed::Fixed(11), failure_persistence: None, ..ProptestConfig::default() })]
 
     #[test]
-    fn where_a_chain_has_room_a_request_is_never_refused(used in uses(), at in 0usize..5, draw: u64) {
+    fn request_is_never_refused_while_a_chain_has_capacity(used in utilizations(), at in 0usize..5, draw: u64) {
         let mut used = used;
         let at = at % used.len();
         used[at] = used[at].map(|used| used.min(0.9));
-        let (fleet, _) = copies(&used);
+        let (fleet, _) = replicas(&used);
         prop_assert!(choose(&fleet, draw).is_some());
     }
 
     #[test]
-    fn an_engine_that_may_be_full_is_not_chosen_where_each_range_has_room(draw: u64, full in 0usize..4) {
+    fn possibly_full_engine_is_not_chosen_while_each_range_has_capacity(draw: u64, full in 0usize..4) {
         let mut used = [[0.1; 4]; 3];
         used[0][full] = 0.9;
-        let (fleet, keys) = copies(&used);
-        let path = choose(&fleet, draw).expect("there is room");
+        let (fleet, keys) = replicas(&used);
+        let path = choose(&fleet, draw).expect("every range has free capacity");
         prop_assert!(!path.contains(&keys[full]));
     }
 
     #[test]
-    fn more_room_never_makes_an_engine_chosen_less(used in uses(), part in 0.0..0.9f64) {
-        let (fleet, keys) = copies(&used);
-        let before = chosen(&fleet, keys[0]);
-        let mut roomier = used;
-        roomier[0][0] *= part;
-        let (fleet, keys) = copies(&roomier);
-        let after = chosen(&fleet, keys[0]);
+    fn more_free_capacity_never_makes_an_engine_chosen_less(used in utilizations(), part in 0.0..0.9f64) {
+        let (fleet, keys) = replicas(&used);
+        let before = times_chosen(&fleet, keys[0]);
+        let mut emptier = used;
+        emptier[0][0] *= part;
+        let (fleet, keys) = replicas(&emptier);
+        let after = times_chosen(&fleet, keys[0]);
         prop_assert!(after >= before, "{} after {}", after, before);
     }
 }
--- a/reachtally-core/tests/core/forward/cost.rs
+++ b/reachtally-core/tests/core/forward/cost.rs
@@ -1,12 +1,12 @@
-//! What reading prompts costs an engine that also decodes.
+//! Tests of the cost that prefill adds on an engine that also decodes.
 
 use reachtally_core::forward::cost::LayerModel;
 
 use super::setup::model;
 
-/// Guards against expecting decoded tokens to wait for all prompts that arrive, where a pass reads only a chunk.
+/// Guards against a model in which decoding waits for all arriving prompts, although a pass prefills only one chunk.
 #[test]
-fn a_bounded_pass_bounds_how_much_reading_slows_decoding() {
+fn chunked_prefill_bounds_the_slowdown_of_decoding() {
     let free = model();
     let bounded = LayerModel {
         chunk: 512.0,
@@ -17,18 +17,21 @@
         free.prefill_slowdown(&card, 8, 1.0),
         bounded.prefill_slowdown(&card, 8, 1.0),
     );
-    assert_eq!(few.0, few.1, "a pass that is not filled is not bounded");
+    assert_eq!(
+        few.0, few.1,
+        "the chunk does not bound a partly filled pass"
+    );
     let many = bounded.prefill_slowdown(&card, 8, 1000.0);
     assert!(many < free.prefill_slowdown(&card, 8, 1000.0), "{many}");
     let chunk_ms = bounded.prefill_ms(&card, 8, 512.0);
     let steps_ms = 3.0 * bounded.step_ms(&card, 8, 1.0);
     let worst = 1.0 + chunk_ms / steps_ms;
-    assert!((many - worst).abs() < 1e-9, "{many}, not {worst}");
+    assert!((many - worst).abs() < 1e-9, "{many}, expected {worst}");
 }
 
-/// Guards against counting on an engine's whole reading speed while it decodes.
+/// Guards against assuming the full prefill rate for an engine that also decodes.
 #[test]
-fn an_engine_that_decodes_reads_a_chunk_in_the_time_of_a_pass() {
+fn decoding_engine_prefills_one_chunk_per_pass() {
     let model = LayerModel {
         chunk: 512.0,
         ..model()
--- a/reachtally-core/tests/core/forward/era.rs
+++ b/reachtally-core/tests/core/forward/era.rs
@@ -1,4 +1,4 @@
-//! Eras of a store that comes back from a copy.
+//! Tests of eras, which change when the store is restored from a backup.
 
 use std::time::Duration;
 
@@ -10,13 +10,13 @@
     Instant::from_elapsed(Duration::from_millis(ms))
 }
 
-/// An answer to a call that began at `began` and took 5 ms.
+/// Handles an answer of era `told` to a call that began at `began` and took 5 ms.
 fn answer(eras: &mut EraTracker, told: u64, began: u64) -> Result<Era, Outdated> {
     eras.era_of_answer(Some(Era(told)), at(began), at(began + 5))
 }
 
 #[test]
-fn any_position_of_a_later_era_comes_after_all_of_an_earlier_one() {
+fn positions_order_by_era_before_offset() {
     let position = |era, offset| Position {
         era: Era(era),
         offset,
@@ -27,7 +27,7 @@
 }
 
 #[test]
-fn the_first_era_heard_of_is_no_return() {
+fn first_known_era_is_not_a_rollback() {
     let mut eras = EraTracker::default();
     assert_eq!(answer(&mut eras, 7, 0), Ok(Era(7)));
     assert_eq!(eras.changed_at(), None);
@@ -36,7 +36,7 @@
 }
 
 #[test]
-fn an_answer_of_an_earlier_era_that_comes_late_is_outdated() {
+fn late_answer_of_an_earlier_era_is_outdated() {
     let mut eras = EraTracker::default();
     assert_eq!(answer(&mut eras, 1, 0), Ok(Era(1)));
     assert_eq!(answer(&mut eras, 2, 100), Ok(Era(2)));
@@ -46,7 +46,7 @@
 }
 
 #[test]
-fn an_answer_without_an_era_is_of_the_one_that_is_known() {
+fn answer_without_an_era_belongs_to_the_known_era() {
     let mut eras = EraTracker::default();
     assert_eq!(eras.era_of_answer(None, at(0), at(5)), Ok(Era(0)));
     assert_eq!(answer(&mut eras, 3, 100), Ok(Era(3)));
@@ -54,21 +54,21 @@
 }
 
 #[test]
-fn an_era_that_falls_counts_as_one_more_once() {
+fn falling_era_is_counted_as_one_new_era() {
     let mut eras = EraTracker::default();
     assert_eq!(answer(&mut eras, 7, 0), Ok(Era(7)));
     assert_eq!(answer(&mut eras, 2, 100), Ok(Era(8)));
     for ms in [200, 300] {
         assert_eq!(answer(&mut eras, 2, ms), Ok(Era(8)));
     }
-    // Other boxes find out by themselves, and tell each other; that goes on no further.
+    // Other boxes detect the rollback on their own and report it to each other, which must not raise the era further.
     assert!(eras.update(Era(9), Some(at(400))));
     assert_eq!(answer(&mut eras, 2, 500), Ok(Era(9)));
     assert_eq!(answer(&mut eras, 10, 600), Ok(Era(10)));
 }
 
 #[test]
-fn another_box_tells_of_a_return_that_this_one_did_not_see() {
+fn rollback_reported_by_another_box_is_recorded() {
     let mut eras = EraTracker::default();
     assert_eq!(answer(&mut eras, 4, 2_000), Ok(Era(4)));
     assert!(!eras.receive_rollback(Era(4), at(1_500)));
@@ -77,9 +77,9 @@
 }
 
 proptest! {
-    /// Whatever answers name, what is held never falls, and an answer is of the era held or of none.
+    /// The held era never falls whatever era answers carry, and each accepted answer is of the held era.
     #[test]
-    fn eras_never_fall(told in prop::collection::vec((prop::option::of(0u64..5), 0u64..50), 1..40)) {
+    fn held_era_never_falls(told in prop::collection::vec((prop::option::of(0u64..5), 0u64..50), 1..40)) {
         let mut eras = EraTracker::default();
         let mut now = 0;
         for (told, back) in told {
--- a/reachtally-core/tests/core/forward/fingerprint.rs
+++ b/reachtally-core/tests/core/forward/fingerprint.rs
@@ -1,4 +1,4 @@
-//! What makes two requests the same one.
+//! Tests of the fingerprint that identifies equal requests.
 
 use reachtally_core::forward::fingerprint::{Fingerprint, RequestIdentity};
 
@@ -11,22 +11,22 @@
 };
 
 #[test]
-fn it_is_the_same_on_all_boxes_and_versions() {
-    let told = Fingerprint::of(&REQUEST).to_string();
-    insta::assert_snapshot!(told, @"a94fbc0cd83c789758dea94b1ca73c7a");
+fn fingerprint_is_stable_across_boxes_and_versions() {
+    let fingerprints = Fingerprint::of(&REQUEST).to_string();
+    insta::assert_snapshot!(fingerprints, @"a94fbc0cd83c789758dea94b1ca73c7a");
 }
 
 #[test]
-fn the_case_of_the_host_does_not_count() {
-    let shouted = RequestIdentity {
+fn fingerprint_ignores_the_case_of_the_host() {
+    let upper_case = RequestIdentity {
         host: "SHOP.example",
         ..REQUEST
     };
-    assert_eq!(Fingerprint::of(&shouted), Fingerprint::of(&REQUEST));
+    assert_eq!(Fingerprint::of(&upper_case), Fingerprint::of(&REQUEST));
 }
 
 #[test]
-fn all_else_counts() {
+fn fingerprint_depends_on_every_other_field() {
     let others = [
         RequestIdentity {
             method: "GET",
@@ -56,7 +56,7 @@
             body: b"",
             ..REQUEST
         },
-        // What moves from one field to the next.
+        // Bytes that move from one field to the next.
         RequestIdentity {
             account: Some("acme{"),
             body: b"}",
@@ -68,9 +68,9 @@
             ..REQUEST
         },
     ];
-    let mut told: Vec<Fingerprint> = others.iter().map(Fingerprint::of).collect();
-    told.push(Fingerprint::of(&REQUEST));
-    told.sort();
-    told.dedup();
-    assert_eq!(told.len(), others.len() + 1);
+    let mut fingerprints: Vec<Fingerprint> = others.iter().map(Fingerprint::of).collect();
+    fingerprints.push(Fingerprint::of(&REQUEST));
+    fingerprints.sort();
+    fingerprints.dedup();
+    assert_eq!(fingerprints.len(), others.len() + 1);
 }
--- a/reachtally-core/tests/core/forward/fleet.rs
+++ b/reachtally-core/tests/core/forward/fleet.rs
@@ -1,4 +1,4 @@
-//! The table of targets and what is believed of them.
+//! Tests of the table of targets and their assumed state.
 
 use std::time::Duration;
 
@@ -11,7 +11,7 @@
     Instant::from_elapsed(Duration::from_millis(ms))
 }
 
-/// An entry, and that of a later run with its address.
+/// An entry, and one of a later run with the same address.
 fn two_runs_at_one_address() -> (Entry, Entry) {
     let first = entry(0, "a", "small", 0..8);
     let second = Entry {
@@ -22,7 +22,7 @@
 }
 
 #[test]
-fn a_target_that_leaves_never_takes_work_again() {
+fn draining_target_never_takes_work_again() {
     let mut fleet = Fleet::default();
     let ready = entry(0, "a", "small", 0..8);
     let leaving = Entry {
@@ -31,16 +31,16 @@
     };
     let (key, _) = fleet.upsert(leaving, EntrySource::Written, at(0));
     fleet.upsert(ready, EntrySource::Written, at(10));
-    assert!(fleet.get(key).expect("it is known").entry.draining);
+    assert!(fleet.get(key).expect("target exists").entry.draining);
 }
 
 #[test]
-fn a_heartbeat_that_was_on_its_way_does_not_revive_a_dead_target() {
+fn heartbeat_in_flight_does_not_revive_a_dead_target() {
     let mut fleet = Fleet::default();
     let (key, _) = fleet.upsert(entry(0, "a", "small", 0..8), EntrySource::Written, at(0));
     fleet
         .get_mut(key)
-        .expect("it is known")
+        .expect("target exists")
         .health
         .mark_dead(at(1_000));
     fleet.upsert(
@@ -58,29 +58,29 @@
 }
 
 #[test]
-fn failures_in_a_row_double_the_hold_off_up_to_a_bound() {
+fn consecutive_failures_double_the_cooldown_up_to_a_bound() {
     let mut fleet = Fleet::default();
     let (key, _) = fleet.upsert(entry(0, "a", "small", 0..8), EntrySource::Written, at(0));
     let mut now = at(0);
-    let mut holds = Vec::new();
+    let mut cooldowns = Vec::new();
     for _ in 0..7 {
         fleet.record_failure(key, now);
         let until = fleet
             .get(key)
             .and_then(|engine| engine.health.cooldown_until);
-        let until = until.expect("it is held off");
-        holds.push(until.since(now).as_millis());
+        let until = until.expect("the target is cooling down");
+        cooldowns.push(until.since(now).as_millis());
         now = until;
     }
-    assert_eq!(holds, [500, 1000, 2000, 4000, 8000, 8000, 8000]);
+    assert_eq!(cooldowns, [500, 1000, 2000, 4000, 8000, 8000, 8000]);
 }
 
 #[test]
-fn a_full_target_is_held_off_shortly_and_without_doubling() {
+fn full_target_cools_down_briefly_and_without_doubling() {
     let mut fleet = Fleet::default();
     let (key, _) = fleet.upsert(entry(0, "a", "small", 0..8), EntrySource::Written, at(0));
     for start in [0, 1_000, 2_000, 3_000] {
-        let engine = fleet.get_mut(key).expect("it is known");
+        let engine = fleet.get_mut(key).expect("target exists");
         engine.health.refused(at(start));
         assert!(engine.health.is_cooling_down(at(start + 100)));
         assert!(!engine.health.is_cooling_down(at(start + 200)));
@@ -88,7 +88,7 @@
 }
 
 #[test]
-fn an_address_that_passes_to_another_run_names_that_run() {
+fn reused_address_resolves_to_the_later_run() {
     let mut fleet = Fleet::default();
     let (first, second) = two_runs_at_one_address();
     fleet.upsert(first.clone(), EntrySource::Written, at(0));
@@ -98,7 +98,7 @@
 }
 
 #[test]
-fn entries_missing_after_an_outage_are_dropped_only_after_a_while() {
+fn entries_missing_after_an_outage_are_dropped_only_after_a_delay() {
     let mut fleet = Fleet::default();
     let (key, _) = fleet.upsert(entry(0, "a", "small", 0..8), EntrySource::Written, at(0));
     fleet.mark_missing("e0", at(100));
@@ -115,46 +115,46 @@
 }
 
 #[test]
-fn a_list_is_no_sign_of_life() {
+fn listed_entry_does_not_revive_a_dead_target() {
     let mut fleet = Fleet::default();
     let (key, _) = fleet.upsert(entry(0, "a", "small", 0..8), EntrySource::Written, at(0));
     fleet
         .get_mut(key)
-        .expect("it is known")
+        .expect("target exists")
         .health
         .mark_dead(at(100));
     fleet.upsert(entry(0, "a", "small", 0..8), EntrySource::Listed, at(4_000));
-    assert!(fleet.get(key).expect("it is known").health.is_dead());
+    assert!(fleet.get(key).expect("target exists").health.is_dead());
     fleet.upsert(
         entry(0, "a", "small", 0..8),
         EntrySource::Written,
         at(4_100),
     );
-    assert!(!fleet.get(key).expect("it is known").health.is_dead());
+    assert!(!fleet.get(key).expect("target exists").health.is_dead());
 }
 
 #[test]
-fn a_run_whose_address_has_passed_to_another_is_neither_used_nor_asked() {
+fn run_that_lost_its_address_is_neither_used_nor_probed() {
     let mut fleet = Fleet::default();
     let (first, second) = two_runs_at_one_address();
     let (old, _) = fleet.upsert(first, EntrySource::Written, at(0));
     let (new, _) = fleet.upsert(second, EntrySource::Written, at(10));
-    assert!(fleet.get(old).expect("it is known").health.is_dead());
-    assert!(!fleet.get(new).expect("it is known").health.is_dead());
+    assert!(fleet.get(old).expect("target exists").health.is_dead());
+    assert!(!fleet.get(new).expect("target exists").health.is_dead());
     assert!(fleet.dead().is_empty());
 }
 
 #[test]
-fn a_target_that_contradicts_its_entry_is_left_alone_until_that_changes() {
+fn target_that_contradicts_its_entry_is_unused_until_the_entry_changes() {
     let mut fleet = Fleet::default();
     let (key, _) = fleet.upsert(entry(0, "a", "small", 0..8), EntrySource::Written, at(0));
     let is_contradicted = |fleet: &Fleet, ms| {
-        let engine = fleet.get(key).expect("it is known");
+        let engine = fleet.get(key).expect("target exists");
         engine.health.is_contradicted(at(ms))
     };
-    let health = &mut fleet.get_mut(key).expect("it is known").health;
+    let health = &mut fleet.get_mut(key).expect("target exists").health;
     health.mark_contradicted(at(100));
-    // The same entry again is what it contradicted.
+    // The contradicted entry, unchanged, clears nothing.
     fleet.upsert(
         entry(0, "a", "small", 0..8),
         EntrySource::Written,
@@ -170,7 +170,7 @@
 }
 
 #[test]
-fn nothing_of_the_earlier_run_is_left_where_a_target_starts_again_under_its_id() {
+fn restart_under_the_same_id_clears_state_of_the_earlier_run() {
     let mut fleet = Fleet::default();
     let leaving = Entry {
         draining: true,
@@ -179,7 +179,7 @@
     let (before, _) = fleet.upsert(leaving, EntrySource::Written, at(0));
     fleet.begin(&[before], 700.0);
     fleet.begin_prefill(&[before], 500.0);
-    let engine = fleet.get_mut(before).expect("it is known");
+    let engine = fleet.get_mut(before).expect("target exists");
     engine.record_slowdown(8.0, at(0));
     engine.remote_unresponsive = 5;
     engine.health.mark_dead(at(10));
@@ -193,7 +193,7 @@
     assert!(is_news && after != before);
     assert!(fleet.get(before).is_none());
     assert_eq!(fleet.find("e0"), Some(after));
-    let engine = fleet.get(after).expect("it is known");
+    let engine = fleet.get(after).expect("target exists");
     assert!(!engine.entry.draining && engine.entry.layers.is_empty());
     assert_eq!(
         (engine.running, engine.tokens, engine.reading),
@@ -205,21 +205,21 @@
         !health.is_dead() && !health.is_cooling_down(at(20)) && !health.is_contradicted(at(20))
     );
     assert!(!engine.is_reported_unresponsive());
-    // What ends now ran on the earlier run.
+    // Requests that end now ran on the earlier run.
     fleet.end_prefill(&[before], 500.0);
     fleet.end(&[before], 700.0);
     fleet.record_failure(before, at(30));
     assert!(
         !fleet
             .get(after)
-            .expect("it is known")
+            .expect("target exists")
             .health
             .is_cooling_down(at(30))
     );
 }
 
 #[test]
-fn what_an_earlier_run_wrote_and_is_read_late_changes_nothing() {
+fn late_entry_of_an_earlier_run_changes_nothing() {
     let mut fleet = Fleet::default();
     let (key, _) = fleet.upsert(run_entry(2_000), EntrySource::Written, at(0));
     for evidence in [EntrySource::Written, EntrySource::Listed] {
@@ -229,31 +229,37 @@
         };
         assert_eq!(fleet.upsert(late, evidence, at(3_000)), (key, false));
     }
-    assert_eq!(fleet.get(key).expect("it is known").entry, run_entry(2_000));
+    assert_eq!(
+        fleet.get(key).expect("target exists").entry,
+        run_entry(2_000)
+    );
 }
 
 #[test]
-fn an_entry_that_tells_a_start_ahead_of_time_does_not_shut_out_the_run_that_goes_on_writing() {
+fn entry_with_a_future_start_does_not_lock_out_the_live_run() {
     let mut fleet = Fleet::default();
     fleet.upsert(run_entry(1_000), EntrySource::Written, at(0));
     let (ahead, _) = fleet.upsert(run_entry(90_000), EntrySource::Written, at(500));
     fleet.upsert(run_entry(1_000), EntrySource::Written, at(1_200));
     assert!(fleet.get(ahead).is_some());
     fleet.upsert(run_entry(1_000), EntrySource::Written, at(4_800));
-    let key = fleet.find("e0").expect("it is known");
-    assert_eq!(fleet.get(key).expect("it is known").entry, run_entry(1_000));
+    let key = fleet.find("e0").expect("target exists");
+    assert_eq!(
+        fleet.get(key).expect("target exists").entry,
+        run_entry(1_000)
+    );
 }
 
 #[test]
-fn an_entry_without_a_start_is_of_the_run_that_is_known() {
+fn entry_without_a_start_updates_the_known_run() {
     let mut fleet = Fleet::default();
     let (key, _) = fleet.upsert(run_entry(2_000), EntrySource::Written, at(0));
-    let told = entry(0, "a", "small", 2..9);
+    let update = entry(0, "a", "small", 2..9);
     assert_eq!(
-        fleet.upsert(told, EntrySource::Written, at(10)),
+        fleet.upsert(update, EntrySource::Written, at(10)),
         (key, true)
     );
-    let held = &fleet.get(key).expect("it is known").entry;
+    let held = &fleet.get(key).expect("target exists").entry;
     assert_eq!(
         (held.born, held.layers.clone()),
         (Some(StartTime(2_000)), 2..9)
@@ -261,7 +267,7 @@
 }
 
 #[test]
-fn a_target_whose_address_changes_is_known_at_the_new_one_only() {
+fn moved_target_is_found_at_its_new_address_only() {
     let mut fleet = Fleet::default();
     let first = entry(0, "a", "small", 0..8);
     let moved = Entry {
@@ -272,23 +278,23 @@
     fleet.upsert(moved.clone(), EntrySource::Written, at(10));
     assert_eq!(fleet.at(moved.address), Some(key));
     assert_eq!(fleet.at(first.address), None);
-    // Another target comes to the address that it left.
+    // Another target takes over the former address.
     let other = Entry {
         id: "other".into(),
         ..first
     };
     fleet.upsert(other, EntrySource::Written, at(20));
-    assert!(!fleet.get(key).expect("it is known").health.is_dead());
+    assert!(!fleet.get(key).expect("target exists").health.is_dead());
 }
 
 #[test]
-fn a_target_that_goes_on_writing_is_back_though_another_claimed_its_address() {
+fn target_that_keeps_writing_regains_an_address_claimed_by_another() {
     let mut fleet = Fleet::default();
     let (first, second) = two_runs_at_one_address();
     let (key, _) = fleet.upsert(first.clone(), EntrySource::Written, at(0));
     fleet.upsert(second, EntrySource::Written, at(10));
-    let is_dead = |fleet: &Fleet| fleet.get(key).expect("it is known").health.is_dead();
-    // A heartbeat that was on its way proves nothing.
+    let is_dead = |fleet: &Fleet| fleet.get(key).expect("target exists").health.is_dead();
+    // A heartbeat that was already in flight proves nothing.
     assert_eq!(
         fleet.upsert(first.clone(), EntrySource::Written, at(900)),
         (key, false)
@@ -302,10 +308,10 @@
     assert_eq!(fleet.at(first.address), Some(key));
 }
 
-/// A run crashed behind a cut and started again there under another id. Once the cut has healed, what the earlier run had
-/// written is done late.
+/// Guards against delayed writes of an earlier run. A run crashed behind a network cut and restarted there under
+/// another id; once the cut healed, the writes of the earlier run arrived late.
 #[test]
-fn an_entry_of_an_earlier_run_that_is_written_late_does_not_take_the_address_of_the_later_one() {
+fn late_entry_of_an_earlier_run_does_not_take_the_address_of_the_later_one() {
     for evidence in [EntrySource::Written, EntrySource::Listed] {
         let mut fleet = Fleet::default();
         let later = Entry {
@@ -314,11 +320,11 @@
         };
         let (new, _) = fleet.upsert(later.clone(), EntrySource::Written, at(0));
         let (old, _) = fleet.upsert(run_entry(1_000), evidence, at(10));
-        let is_dead = |fleet: &Fleet, key| fleet.get(key).expect("it is known").health.is_dead();
+        let is_dead = |fleet: &Fleet, key| fleet.get(key).expect("target exists").health.is_dead();
         assert!(is_dead(&fleet, old) && !is_dead(&fleet, new));
         assert_eq!(fleet.at(later.address), Some(new));
         assert!(fleet.dead().is_empty());
-        // Nor if it is written again and again.
+        // Nor do repeated writes.
         for ms in [1_500, 3_000, 4_500] {
             assert_eq!(
                 fleet.upsert(run_entry(1_000), evidence, at(ms)),
--- a/reachtally-core/tests/core/forward/freshness.rs
+++ b/reachtally-core/tests/core/forward/freshness.rs
@@ -1,4 +1,4 @@
-//! How old the configuration may be.
+//! Tests of the maximum age of the configuration.
 
 use std::time::Duration;
 
@@ -12,12 +12,12 @@
 }
 
 #[test]
-fn nothing_is_fresh_before_the_first_read() {
+fn configuration_is_stale_before_the_first_read() {
     assert!(!Freshness::default().is_fresh(at(0), BOUND));
 }
 
 #[test]
-fn it_holds_from_the_beginning_of_the_read_and_not_from_its_end() {
+fn freshness_counts_from_the_start_of_the_read() {
     let mut freshness = Freshness::default();
     freshness.confirm(at(1_000));
     let last = at(6_000) - at(0) - FRESHNESS_MARGIN;
@@ -30,7 +30,7 @@
 }
 
 #[test]
-fn a_late_answer_to_an_older_read_changes_nothing() {
+fn late_answer_to_an_older_read_is_ignored() {
     let mut freshness = Freshness::default();
     freshness.confirm(at(3_000));
     freshness.confirm(at(1_000));
--- a/reachtally-core/tests/core/forward/heavy.rs
+++ b/reachtally-core/tests/core/forward/heavy.rs
@@ -1,5 +1,5 @@
-//! The heaviest stretch of a day, played with the shipped choice: many boxes that know each other's requests only
-//! as of the last report, before engines that read one prompt after the other and let a few prompts wait for room.
+//! Simulates peak load with the production path selection: many boxes that know each other's requests only as of the
+//! last report, and engines that prefill one prompt after the other and let a few prompts wait for KV capacity.
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
@@ -16,39 +16,39 @@
 
 use super::setup::{self, SERVICE, entry, fleet};
 
-/// What is played beside the fleet and the load.
+/// Simulated boxes and their view of the engines.
 #[derive(Clone, Copy)]
-struct Boxes {
+struct BoxSetup {
     count: usize,
-    /// Time between two reports, in ms.
+    /// Interval of load reports, in ms.
     report_ms: u64,
-    /// Prompts that an engine lets wait for room before it refuses.
-    most_waiting: usize,
+    /// Prompts that an engine queues for KV capacity before it refuses.
+    max_waiting: usize,
 }
 
-/// Boxes that know of each other what the relay tells with each report.
-const FEW: Boxes = Boxes {
+/// Boxes that receive the loads of all engines with each report.
+const FEW: BoxSetup = BoxSetup {
     count: 16,
     report_ms: 200,
-    most_waiting: 0,
+    max_waiting: 0,
 };
-/// Boxes before so many engines that each is told of in every second or third report only.
-const MANY: Boxes = Boxes {
+/// Boxes with so many engines that each engine is only in every second or third report.
+const MANY: BoxSetup = BoxSetup {
     count: 64,
     report_ms: 500,
-    most_waiting: 24,
+    max_waiting: 24,
 };
-/// Time that is played, in ms.
-const PLAYED_MS: u64 = 12_000;
-/// Longest time to the first event that is in time, in ms.
+/// Simulated time, in ms.
+const SIMULATED_MS: u64 = 12_000;
+/// Objective for the time to the first event, in ms.
 const OBJECTIVE_MS: f64 = 500.0;
-/// Time of a token from one engine to the next, in ms.
+/// Latency of a token between two engines, in ms.
 const HOP_MS: f64 = 0.5;
-/// Sends of a request, refused ones included.
-const MOST_SENDS: usize = 3;
+/// Maximum sends of a request, including refused ones.
+const MAX_SENDS: usize = 3;
 
-/// The model of a fleet with these kinds of card: memory, and the factors of steps and reading. Its KV is small and it
-/// reads fast, as on the users' later cards.
+/// A model with these cards: name, memory, and the factors of steps and prefill. Its KV is small and its prefill
+/// fast, as on the newer cards of users.
 fn model(cards: &[(&str, f64, f64, f64)]) -> LayerModel {
     let card = |(name, memory_mb, step_factor, read_factor): &(&str, f64, f64, f64)| {
         let card = Card {
@@ -72,50 +72,50 @@
     }
 }
 
-/// A request that runs or waits at an engine, with its times in ms.
+/// A request that runs or waits at an engine, with times in ms.
 #[derive(Clone, Copy)]
-struct Hold {
+struct EngineRequest {
     begins: f64,
     ends: f64,
     tokens: f64,
 }
 
-/// What an engine really holds.
+/// Actual state of an engine, which boxes know only from reports.
 #[derive(Default, Clone)]
-struct Real {
-    holds: Vec<Hold>,
+struct EngineState {
+    requests: Vec<EngineRequest>,
     busy_until: f64,
 }
 
-impl Real {
-    /// When it has room for `need` tokens, or `None` where as many wait as may.
-    fn free_at(&mut self, now: f64, need: f64, room: f64, most_waiting: usize) -> Option<f64> {
-        self.holds.retain(|hold| hold.ends > now);
-        self.holds.sort_by(|a, b| a.ends.total_cmp(&b.ends));
-        let mut held: f64 = self.holds.iter().map(|hold| hold.tokens).sum();
+impl EngineState {
+    /// Time at which `need` tokens are free, or `None` if the queue is full.
+    fn free_at(&mut self, now: f64, need: f64, room: f64, max_waiting: usize) -> Option<f64> {
+        self.requests.retain(|req| req.ends > now);
+        self.requests.sort_by(|a, b| a.ends.total_cmp(&b.ends));
+        let mut held: f64 = self.requests.iter().map(|req| req.tokens).sum();
         if held + need <= room {
             return Some(now);
         }
-        let waiting = self.holds.iter().filter(|hold| hold.begins > now).count();
-        if waiting >= most_waiting {
+        let waiting = self.requests.iter().filter(|req| req.begins > now).count();
+        if waiting >= max_waiting {
             return None;
         }
-        for hold in &self.holds {
-            held -= hold.tokens;
+        for req in &self.requests {
+            held -= req.tokens;
             if held + need <= room {
-                return Some(hold.ends);
+                return Some(req.ends);
             }
         }
         None
     }
 }
 
-struct Box {
+struct SimulatedBox {
     fleet: Fleet,
     keys: Vec<EngineKey>,
 }
 
-/// A request that runs.
+/// A request in progress.
 struct Running {
     at: usize,
     path: Vec<usize>,
@@ -149,29 +149,29 @@
     }
 }
 
-struct Play {
+struct Simulation {
     model: LayerModel,
-    setting: Boxes,
-    boxes: Vec<Box>,
-    real: Vec<Real>,
+    setting: BoxSetup,
+    boxes: Vec<SimulatedBox>,
+    engines: Vec<EngineState>,
     running: Vec<Running>,
-    /// When prompts are read and requests end: time in ms, request, whether it ends.
+    /// Ends of prefills and of requests: time in ms, request, and whether the request ends.
     due: BinaryHeap<Reverse<(u64, usize, bool)>>,
     rng: ChaCha8Rng,
     outcome: Outcome,
 }
 
-impl Play {
-    fn new(model: LayerModel, entries: &[Entry], boxes: Boxes, seed: u64) -> Self {
+impl Simulation {
+    fn new(model: LayerModel, entries: &[Entry], boxes: BoxSetup, seed: u64) -> Self {
         let a_box = |_| {
             let (fleet, keys) = fleet(entries.iter().cloned());
-            Box { fleet, keys }
+            SimulatedBox { fleet, keys }
         };
-        Play {
+        Simulation {
             model,
             setting: boxes,
             boxes: (0..boxes.count).map(a_box).collect(),
-            real: vec![Real::default(); entries.len()],
+            engines: vec![EngineState::default(); entries.len()],
             running: Vec::new(),
             due: BinaryHeap::new(),
             rng: ChaCha8Rng::seed_from_u64(seed),
@@ -179,10 +179,10 @@
         }
     }
 
-    /// Play requests at `rate` a second.
+    /// Simulates requests at `rate` per second.
     fn run(mut self, rate: f64) -> Outcome {
         let mut next = 0.0;
-        for ms in 0..PLAYED_MS {
+        for ms in 0..SIMULATED_MS {
             self.settle(ms);
             if ms.is_multiple_of(self.setting.report_ms) {
                 self.report();
@@ -195,7 +195,7 @@
         self.outcome
     }
 
-    /// What is due by now has happened.
+    /// Applies all events that are due by `now`.
     fn settle(&mut self, now: u64) {
         while self.due.peek().is_some_and(|Reverse((at, ..))| *at <= now) {
             let Some(Reverse((_, number, is_end))) = self.due.pop() else {
@@ -212,9 +212,9 @@
         }
     }
 
-    /// Every box learns what all others have.
+    /// Reports the load of all other boxes to each box.
     fn report(&mut self) {
-        for engine in 0..self.real.len() {
+        for engine in 0..self.engines.len() {
             let all: Vec<(f64, f64, f64)> = self.boxes.iter().map(|of| own(of, engine)).collect();
             for at in 0..self.boxes.len() {
                 let others = all.iter().enumerate().filter(|(from, _)| *from != at);
@@ -223,7 +223,7 @@
                 });
                 let there = &mut self.boxes[at];
                 let row = there.keys[engine];
-                let row = there.fleet.get_mut(row).expect("engines never leave");
+                let row = there.fleet.get_mut(row).expect("engine exists");
                 (row.remote_running, row.remote_tokens, row.remote_prefill) = sums;
             }
         }
@@ -240,14 +240,14 @@
                 gap_ms: Some(200.0),
             },
         };
-        for _ in 0..MOST_SENDS {
+        for _ in 0..MAX_SENDS {
             if self.send(at, need, now) {
                 return;
             }
         }
     }
 
-    /// Send to the engines chosen; false if nothing ran.
+    /// Sends to the selected engines; returns false if the request did not run.
     fn send(&mut self, at: usize, need: Requirements, now: u64) -> bool {
         let clock = Instant::from_elapsed(Duration::from_millis(now));
         let cx = SelectionContext {
@@ -271,22 +271,22 @@
         let mut token_ms = 0.0;
         let mut read_at = now as f64;
         for (row, engine) in rows.iter().zip(&path) {
-            let entry = &there.fleet.get(*row).expect("it is known").entry;
-            let card = self.model.cards[&**entry.card.as_ref().expect("it has a card")];
+            let entry = &there.fleet.get(*row).expect("engine exists").entry;
+            let card = self.model.cards[&**entry.card.as_ref().expect("engine has a card")];
             let layers = entry.layers.len() as u32;
-            let real = &mut self.real[*engine];
+            let engines = &mut self.engines[*engine];
             let room = self.model.kv_tokens(&card, layers);
-            let waits = self.setting.most_waiting;
-            let Some(free_at) = real.free_at(now as f64, need.held(), room, waits) else {
+            let waits = self.setting.max_waiting;
+            let Some(free_at) = engines.free_at(now as f64, need.held(), room, waits) else {
                 self.outcome.refused += 1;
-                let full = there.fleet.get_mut(*row).expect("it is known");
+                let full = there.fleet.get_mut(*row).expect("engine exists");
                 full.health.refused(clock);
                 return false;
             };
             read_at = read_at.max(free_at);
-            read_at = real.busy_until.max(read_at + HOP_MS);
+            read_at = engines.busy_until.max(read_at + HOP_MS);
             read_at += self.model.prefill_ms(&card, layers, need.prompt);
-            real.busy_until = read_at;
+            engines.busy_until = read_at;
             token_ms += self.model.step_ms(&card, layers, 10.0) + HOP_MS;
         }
         there.fleet.begin(&rows, need.held());
@@ -295,7 +295,7 @@
         self.outcome.in_time += u32::from(first - now as f64 <= OBJECTIVE_MS);
         let end = first + token_ms * need.answer;
         for engine in &path {
-            self.real[*engine].holds.push(Hold {
+            self.engines[*engine].requests.push(EngineRequest {
                 begins: read_at,
                 ends: end,
                 tokens: need.held(),
@@ -309,13 +309,13 @@
     }
 }
 
-/// Requests, tokens and waiting prompts of a box on an engine.
-fn own(of: &Box, engine: usize) -> (f64, f64, f64) {
-    let row = of.fleet.get(of.keys[engine]).expect("engines never leave");
+/// Requests, tokens and waiting prompt tokens of a box on an engine.
+fn own(of: &SimulatedBox, engine: usize) -> (f64, f64, f64) {
+    let row = of.fleet.get(of.keys[engine]).expect("engine exists");
     (f64::from(row.running), row.tokens, row.reading)
 }
 
-/// A chain of engines of one card that hold `each` layers.
+/// A chain of engines with one kind of card and `each` layers per engine.
 fn chain(from: u16, card: &str, each: u32) -> Vec<Entry> {
     let starts = (0..80).step_by(each as usize);
     let numbered = starts.enumerate();
@@ -331,26 +331,26 @@
         .collect()
 }
 
-/// One chain of cards five times as fast as the others, and four slow ones. With the least time, and a pressure on
-/// each engine's own part, 0.76 of the requests were in time and 0.62 of the sends refused; by the price of room
-/// times the duration all are in time and 0.011 refused.
+/// One chain of cards five times as fast as the others, and four slow ones. Guards against filling the fast chain
+/// first: with selection by least time and congestion per engine, 0.76 of the requests were in time and 0.62 of the
+/// sends refused; with the price of KV capacity times the duration, all are in time and 0.011 refused.
 #[test]
-fn where_one_chain_is_five_times_as_fast_the_others_are_used_before_it_is_full() {
+fn slow_chains_are_used_before_a_five_times_faster_one_is_full() {
     let model = model(&[("fast", 36_000.0, 3.1, 3.2), ("slow", 21_600.0, 16.0, 8.2)]);
     let mut entries = chain(0, "fast", 19);
     for number in 1..5 {
         entries.extend(chain(100 * number, "slow", 10));
     }
-    let outcome = Play::new(model, &entries, FEW, 7).run(130.0);
+    let outcome = Simulation::new(model, &entries, FEW, 7).run(130.0);
     assert!(outcome.in_time_share() >= 0.99, "{outcome:?}");
     assert!(outcome.refused_share() <= 0.03, "{outcome:?}");
 }
 
-/// Cards of three speeds whose KV is small for the load: requests must not all be driven to the slow chain, where
-/// they hold its room several times as long. Before, 0.83 were in time and 0.51 of the sends refused; now all and
-/// 0.052.
+/// Cards of three speeds whose KV is small for the load. Guards against sending all requests to the slow chain, where
+/// each holds KV capacity several times as long: then 0.83 were in time and 0.51 of the sends refused; now all are in
+/// time and 0.052 refused.
 #[test]
-fn where_room_is_short_on_cards_of_three_speeds_most_are_still_in_time() {
+fn requests_stay_in_time_when_kv_is_short_on_cards_of_three_speeds() {
     let model = model(&[
         ("large", 72_000.0, 2.4, 3.2),
         ("middle", 36_000.0, 5.6, 2.7),
@@ -359,16 +359,16 @@
     let mut entries = chain(0, "large", 38);
     entries.extend(chain(100, "middle", 20));
     entries.extend(chain(200, "small", 10));
-    let outcome = Play::new(model, &entries, FEW, 7).run(90.0);
+    let outcome = Simulation::new(model, &entries, FEW, 7).run(90.0);
     assert!(outcome.in_time_share() >= 0.97, "{outcome:?}");
     assert!(outcome.refused_share() <= 0.06, "{outcome:?}");
 }
 
-/// Many chains of cards of three speeds, and boxes that know what the others sent half a second ago: they must not all
-/// fill the chains that were cheapest then. With all engines open to each request 0.948 were in time and 0.155 of the
-/// sends refused; with a half of them drawn 0.969 and 0.096.
+/// Many chains of cards of three speeds, and boxes whose view of the others is half a second old. Guards against all
+/// boxes filling the chains that were cheapest at the last report: with all engines open to each request, 0.948 were
+/// in time and 0.155 of the sends refused; with a random half of them, 0.969 and 0.096.
 #[test]
-fn where_reports_are_old_the_chains_that_were_cheapest_are_not_overrun() {
+fn stale_reports_do_not_overload_the_chains_that_were_cheapest() {
     let model = LayerModel {
         cards: setup::model().cards,
         ..model(&[])
@@ -380,7 +380,7 @@
         entries.extend(chain(100 * number + 40, "small", 10));
         entries.extend(chain(100 * number + 60, "small", 8));
     }
-    let play = |seed| Play::new(model.clone(), &entries, MANY, seed).run(320.0);
+    let play = |seed| Simulation::new(model.clone(), &entries, MANY, seed).run(320.0);
     let outcome = [7, 8, 9]
         .map(play)
         .into_iter()
--- a/reachtally-core/tests/core/forward/limit.rs
+++ b/reachtally-core/tests/core/forward/limit.rs
@@ -1,4 +1,4 @@
-//! Rate limits: permits, and who may issue how many.
+//! Tests of rate limits: permits, and how many each collector may issue.
 
 use std::time::Duration;
 
@@ -14,9 +14,9 @@
 
 use super::setup::{NEED, SERVICE, cx, entry, fleet, instance, model};
 
-/// Time between two requests of a box.
+/// Interval of the permit requests of a box.
 const REQUEST_MS: u64 = 200;
-/// Time between two refills.
+/// Interval of refills.
 const REFILL_MS: u64 = 50;
 /// Length of the window in which arrivals are counted.
 const WINDOW_MS: u64 = 4_000;
@@ -33,7 +33,7 @@
 }
 
 fn limit(per_second: f64) -> RateLimit {
-    RateLimit::new(per_second).expect("it is a number")
+    RateLimit::new(per_second).expect("rate is a number")
 }
 
 fn target(id: &str, per_second: f64) -> LimitedTarget {
@@ -65,7 +65,8 @@
     max_share: 1.0,
 };
 
-/// Permits that collectors issue for one target, with their times, where each has `boxes` boxes with this demand.
+/// Times of the permits that collectors issue for one target, with `boxes` boxes per collector and this demand per
+/// box.
 fn issued(per_second: f64, collectors: usize, boxes: u64, rate: f64, ms: u64) -> Vec<u64> {
     let targets = [target("t", per_second)];
     let scope = SharingScope {
@@ -88,7 +89,7 @@
             for each in due {
                 let run = collector as u64 * boxes + each + 1;
                 let answer = allocator.answer(request(run, now + 1, rate), at(now));
-                let grants = answer.expect("it is newer than the last").grants;
+                let grants = answer.expect("number is higher than the last").grants;
                 let count: u32 = grants.iter().map(|grant| grant.count).sum();
                 times.extend(std::iter::repeat_n(now, count as usize));
             }
@@ -97,7 +98,7 @@
     times
 }
 
-/// Collectors tell each other of their demand.
+/// Exchanges demand between collectors.
 fn exchange(allocators: &mut [Allocator], now: u64) {
     let parts: Vec<DemandPart> = allocators
         .iter()
@@ -116,7 +117,7 @@
     }
 }
 
-/// Most arrivals in a window, where each permit may be used until it expires.
+/// Maximum arrivals in a window, given that each permit may be used until it expires.
 fn most_in_window(times: &[u64]) -> usize {
     let life = PERMIT_TTL.as_millis() as u64;
     let in_window = |from: u64| {
@@ -127,7 +128,7 @@
 }
 
 #[test]
-fn no_window_exceeds_what_is_allowed_whatever_the_number_of_boxes() {
+fn permits_stay_within_the_limit_in_any_window_for_any_number_of_boxes() {
     for per_second in [0.3, 2.9, 30.0] {
         for (collectors, boxes) in [(1, 1), (3, 3), (3, 100), (5, 500)] {
             let times = issued(per_second, collectors, boxes, 5.0, 20_000);
@@ -142,7 +143,7 @@
 }
 
 #[test]
-fn a_limit_is_used_where_callers_want_it() {
+fn limit_is_used_up_under_sufficient_demand() {
     for (collectors, boxes) in [(1, 1), (3, 3), (3, 100)] {
         let times = issued(8.0, collectors, boxes, 30.0, 20_000);
         let used = times.len() as f64 / 20.0 / 8.0;
@@ -151,7 +152,7 @@
 }
 
 #[test]
-fn a_permit_expires() {
+fn permit_is_unusable_after_its_ttl() {
     let mut permits = Permits::default();
     permits.add(2, at(0));
     assert!(permits.take(at(500)));
@@ -161,7 +162,7 @@
 }
 
 #[test]
-fn a_request_that_comes_twice_is_answered_once() {
+fn duplicate_permit_request_is_answered_once() {
     let mut allocator = Allocator::default();
     let targets = [target("t", 10.0)];
     allocator.refill(&targets, ALONE, at(0));
@@ -172,14 +173,14 @@
 }
 
 #[test]
-fn a_box_gets_no_more_permits_than_it_can_use() {
+fn box_gets_no_more_permits_than_its_demand() {
     let mut allocator = Allocator::default();
     let targets: Vec<LimitedTarget> = (0..20).map(|n| target(&format!("t{n}"), 10.0)).collect();
     allocator.refill(&targets, ALONE, at(0));
     allocator.refill(&targets, ALONE, at(1_000));
     let answer = allocator.answer(request(1, 1, 3.0), at(1_000));
     let count: u32 = answer
-        .expect("it is the first")
+        .expect("first request of the box")
         .grants
         .iter()
         .map(|grant| grant.count)
@@ -190,12 +191,12 @@
         ..request(1, 2, 3.0)
     };
     let again = allocator.answer(holds_two, at(1_200));
-    assert_eq!(again.expect("it is newer").grants, []);
+    assert_eq!(again.expect("number is higher").grants, []);
 }
 
-/// Permits that were used counted as held, so no box got more than half of its demand.
+/// Guards against counting used permits as held, which gave each box at most half of its demand.
 #[test]
-fn a_box_that_uses_its_permits_gets_as_many_as_callers_ask_for() {
+fn box_that_uses_its_permits_gets_its_full_demand() {
     let mut allocator = Allocator::default();
     let targets: Vec<LimitedTarget> = (0..5).map(|n| target(&format!("t{n}"), 3.0)).collect();
     let mut count = 0;
@@ -203,14 +204,14 @@
         let now = at(number * REQUEST_MS);
         allocator.refill(&targets, ALONE, now);
         let answer = allocator.answer(request(1, number, 15.0), now);
-        let grants = answer.expect("it is newer").grants;
+        let grants = answer.expect("number is higher").grants;
         count += grants.iter().map(|grant| grant.count).sum::<u32>();
     }
     assert!((270..=300).contains(&count), "{count}");
 }
 
 #[test]
-fn permits_are_for_services_that_the_box_has_requests_for() {
+fn permits_are_issued_only_for_requested_services() {
     let mut allocator = Allocator::default();
     let other = LimitedTarget {
         service: "other".into(),
@@ -220,13 +221,13 @@
     allocator.refill(&targets, ALONE, at(0));
     allocator.refill(&targets, ALONE, at(1_000));
     let answer = allocator.answer(request(1, 1, 1.0), at(1_000));
-    let grants = answer.expect("it is the first").grants;
+    let grants = answer.expect("first request of the box").grants;
     assert_eq!(grants.len(), 1);
     assert_eq!(grants[0].target, run("t"));
 }
 
 #[test]
-fn a_collector_that_nobody_knows_issues_its_part_alone() {
+fn collector_not_known_to_its_peers_issues_only_its_share() {
     let mut allocator = Allocator::default();
     let targets = [target("t", 64.0)];
     let scope = SharingScope {
@@ -238,13 +239,13 @@
         let now = at(number * REQUEST_MS);
         allocator.refill(&targets, scope, now);
         let answer = allocator.answer(request(1, number, 100.0), now);
-        count += answer.expect("it is newer").grants.len();
+        count += answer.expect("number is higher").grants.len();
     }
     assert!((15..=21).contains(&count), "{count}");
 }
 
 #[test]
-fn a_domain_that_is_not_heard_of_keeps_its_part() {
+fn silent_domain_keeps_its_share() {
     let mut allocator = Allocator::default();
     let targets = [target("t", 9.0)];
     let scope = SharingScope {
@@ -256,14 +257,14 @@
         let now = at(number * REQUEST_MS);
         allocator.refill(&targets, scope, now);
         let answer = allocator.answer(request(1, number, 100.0), now);
-        let grants = answer.expect("it is newer").grants;
+        let grants = answer.expect("number is higher").grants;
         count += grants.iter().map(|grant| grant.count).sum::<u32>();
     }
     assert!((50..=62).contains(&count), "{count}");
 }
 
 #[test]
-fn demand_follows_what_callers_ask_for_and_ends_with_it() {
+fn demand_follows_the_request_rate_and_expires() {
     let mut demand = Demand::default();
     for ms in (0..5_000).step_by(100) {
         demand.count(&SERVICE.into(), at(ms));
@@ -274,7 +275,7 @@
     assert_eq!(demand.services(at(20_000)), []);
 }
 
-/// A fleet with two engines for the first layers, of which the first states a limit.
+/// A fleet with two engines for the first layers, the first of which has stated a limit.
 fn limited_fleet() -> Fleet {
     let layers = [0..30, 0..30, 30..60, 60..80];
     let entries = layers.into_iter().enumerate();
@@ -296,7 +297,7 @@
     is_changed
 }
 
-fn firsts(fleet: &Fleet, limits: Limits) -> Vec<String> {
+fn first_engines(fleet: &Fleet, limits: Limits) -> Vec<String> {
     let first = |draw: u64| {
         let cx = SelectionContext {
             draw: draw.wrapping_mul(0x9E37_79B9_7F4A_7C15),
@@ -314,20 +315,20 @@
 }
 
 #[test]
-fn a_target_with_a_limit_is_chosen_only_with_a_permit() {
+fn rate_limited_engine_is_chosen_only_with_a_permit() {
     let mut fleet = limited_fleet();
-    assert_eq!(firsts(&fleet, Limits::Enforced), ["e1"]);
-    assert_eq!(firsts(&fleet, Limits::Ignored), ["e0", "e1"]);
+    assert_eq!(first_engines(&fleet, Limits::Enforced), ["e1"]);
+    assert_eq!(first_engines(&fleet, Limits::Ignored), ["e0", "e1"]);
     let now = cx(&[]).now;
     fleet.grant(&run("e0"), 1, now);
-    assert_eq!(firsts(&fleet, Limits::Enforced), ["e0", "e1"]);
-    let key = fleet.find("e0").expect("it is known");
-    assert!(fleet.get_mut(key).expect("it is known").take_permit(now));
-    assert_eq!(firsts(&fleet, Limits::Enforced), ["e1"]);
+    assert_eq!(first_engines(&fleet, Limits::Enforced), ["e0", "e1"]);
+    let key = fleet.find("e0").expect("target exists");
+    assert!(fleet.get_mut(key).expect("target exists").take_permit(now));
+    assert_eq!(first_engines(&fleet, Limits::Enforced), ["e1"]);
 }
 
 #[test]
-fn an_instance_with_a_limit_is_chosen_only_with_a_permit() {
+fn rate_limited_instance_is_chosen_only_with_a_permit() {
     let (mut fleet, _) = fleet((0..2).map(|number| entry(number, "a", "large", 0..0)));
     state(&mut fleet, "e0", Some(4.0), 0);
     state(&mut fleet, "e1", Some(4.0), 0);
@@ -337,7 +338,7 @@
 }
 
 #[test]
-fn the_newest_statement_holds_in_whatever_order_they_are_heard() {
+fn newest_stated_limit_wins_in_any_order_of_arrival() {
     let mut fleet = limited_fleet();
     assert!(state(&mut fleet, "e0", None, 1_000));
     let report = LimitReport {
@@ -352,7 +353,7 @@
 }
 
 #[test]
-fn a_change_is_repeated_and_pages_repair_what_was_lost() {
+fn limit_changes_are_repeated_and_pages_cover_all_limits() {
     let mut fleet = limited_fleet();
     assert_eq!(changes(&fleet, 10, at(500)).len(), 1);
     assert_eq!(changes(&fleet, 10, at(800)), []);
@@ -366,7 +367,7 @@
 }
 
 #[test]
-fn a_limit_is_never_below_what_shows_its_end() {
+fn rate_limit_stays_within_finite_positive_bounds() {
     assert_eq!(RateLimit::new(f64::NAN), None);
     for rate in [0.0, -7.0] {
         let least = limit(rate).per_second();
@@ -375,9 +376,10 @@
     assert_eq!(limit(f64::INFINITY).per_second(), f64::MAX);
 }
 
-/// A box that starts may be told of a limit before it reads the list of targets, and took its target for gone.
+/// Guards against treating a target as removed: a starting box may receive a limit before it reads the list of
+/// targets.
 #[test]
-fn a_limit_of_an_unknown_run_does_not_make_it_gone() {
+fn limit_of_an_unknown_run_does_not_mark_it_as_removed() {
     let mut fleet = Fleet::default();
     let report = LimitReport {
         target: run("e0"),
@@ -395,7 +397,7 @@
 }
 
 #[test]
-fn permits_of_one_service_are_issued_beside_many_unwanted_ones_of_another() {
+fn unrequested_targets_of_another_service_do_not_block_permits() {
     let mut allocator = Allocator::default();
     let others = (0..40).map(|n| LimitedTarget {
         service: "other".into(),
@@ -405,5 +407,5 @@
     allocator.refill(&targets, ALONE, at(0));
     allocator.refill(&targets, ALONE, at(1_000));
     let answer = allocator.answer(request(1, 1, 1.0), at(1_000));
-    assert_eq!(answer.expect("it is the first").grants.len(), 1);
+    assert_eq!(answer.expect("first request of the box").grants.len(), 1);
 }
--- a/reachtally-core/tests/core/forward/loads.rs
+++ b/reachtally-core/tests/core/forward/loads.rs
@@ -1,4 +1,4 @@
-//! What other boxes have on the targets.
+//! Tests of the load reports that boxes exchange through collectors.
 
 use std::collections::BTreeSet;
 use std::net::{IpAddr, Ipv4Addr};
@@ -15,14 +15,14 @@
 
 use super::setup::{entry, fleet, run_entry};
 
-/// Where messages of another collector come from.
-const ABROAD: IpAddr = IpAddr::V4(Ipv4Addr::new(10, 2, 0, 1));
+/// Address of a collector of another domain.
+const REMOTE_IP: IpAddr = IpAddr::V4(Ipv4Addr::new(10, 2, 0, 1));
 
 fn at(ms: u64) -> Instant {
     Instant::from_elapsed(Duration::from_millis(ms))
 }
 
-/// A run that does not tell its start.
+/// A run without a start time.
 fn run_of(target: &str) -> TargetRun {
     TargetRun {
         id: target.into(),
@@ -72,50 +72,53 @@
     }
 }
 
-/// Boxes that a collector hears of.
+/// Number of boxes that a collector counts.
 fn boxes(collector: &Collector) -> u32 {
     let counts = collector.counts();
     counts
         .iter()
-        .fold(0, |sum, told| sum.saturating_add(told.boxes))
+        .fold(0, |sum, reported| sum.saturating_add(reported.boxes))
 }
 
-/// Requests that box `run` learns of on `target`.
-fn told(collector: &Collector, run: u64, target: &str) -> u32 {
+/// Requests on `target` that are reported to box `run`.
+fn running_elsewhere(collector: &Collector, run: u64, target: &str) -> u32 {
     let others = collector.all_except(Incarnation(run));
-    let found = others.loads.iter().find(|told| &*told.target.id == target);
-    found.map_or(0, |told| told.load.running)
+    let found = others
+        .loads
+        .iter()
+        .find(|reported| &*reported.target.id == target);
+    found.map_or(0, |reported| reported.load.running)
 }
 
-/// Let a box hear everything and put it on its targets.
-fn apply(fleet: &mut Fleet, others: Others, heard: Instant, now: Instant) {
+/// Applies reported loads to the targets of a box.
+fn apply(fleet: &mut Fleet, others: Others, received: Instant, now: Instant) {
     let mut remote_loads = RemoteLoads::default();
-    remote_loads.receive(others, fleet, heard);
+    remote_loads.receive(others, fleet, received);
     remote_loads.remove_expired(fleet, now);
 }
 
 fn first(fleet: &Fleet) -> &Engine {
-    let key = fleet.find("e0").expect("it is known");
-    fleet.get(key).expect("it is known")
+    let key = fleet.find("e0").expect("target exists");
+    fleet.get(key).expect("target exists")
 }
 
 #[test]
-fn a_slow_target_is_told_of_and_looks_as_slow_to_others() {
+fn slowdown_of_a_target_is_reported_to_other_boxes_and_expires() {
     let (mut here, keys) = fleet([entry(0, "a", "small", 0..8)]);
-    let told = own_report(Incarnation(9), 1, &here, at(0));
-    assert!(told.loads.is_empty());
+    let reported = own_report(Incarnation(9), 1, &here, at(0));
+    assert!(reported.loads.is_empty());
     here.get_mut(keys[0])
-        .expect("it is known")
+        .expect("target exists")
         .record_slowdown(3.0, at(0));
-    let told = own_report(Incarnation(9), 2, &here, at(100));
+    let reported = own_report(Incarnation(9), 2, &here, at(100));
     let (mut there, _) = fleet([entry(0, "a", "small", 0..8)]);
     let mut collector = Collector::new("north");
-    collector.receive(told, ip(9), at(100));
+    collector.receive(reported, ip(9), at(100));
     collector.update_totals(at(110));
     let mut remote_loads = RemoteLoads::default();
     remote_loads.receive(collector.all_except(Incarnation(8)), &mut there, at(110));
     assert_eq!(first(&there).slowdown(at(120)), 3.0);
-    // What it was told is forgotten, here by time and there with the report.
+    // The slowdown expires: locally by time, remotely with the report.
     assert!(
         own_report(Incarnation(9), 3, &here, at(3_000))
             .loads
@@ -126,7 +129,7 @@
 }
 
 #[test]
-fn loads_of_all_boxes_add_up_and_a_newer_report_replaces_an_older() {
+fn loads_are_summed_over_boxes_and_newer_reports_replace_older_ones() {
     let (mut fleet, _) = fleet([entry(0, "a", "small", 0..8)]);
     let mut collector = Collector::new("north");
     collector.receive(report(1, 1, 5), ip(1), at(0));
@@ -146,16 +149,16 @@
 }
 
 #[test]
-fn a_silent_box_is_taken_to_have_nothing() {
+fn loads_of_a_silent_box_expire() {
     let mut collector = Collector::new("north");
     collector.receive(report(1, 1, 5), ip(1), at(0));
     collector.update_totals(at(2_000));
-    assert_eq!(told(&collector, 2, "e0"), 0);
+    assert_eq!(running_elsewhere(&collector, 2, "e0"), 0);
     assert_eq!(boxes(&collector), 0);
 }
 
 #[test]
-fn a_silent_collector_is_taken_to_have_told_nothing() {
+fn loads_from_a_silent_collector_expire() {
     let (mut fleet, _) = fleet([entry(0, "a", "small", 0..8)]);
     let others = Others {
         counts: vec![count("north", 3)],
@@ -168,26 +171,26 @@
 }
 
 #[test]
-fn a_box_hears_of_all_requests_but_its_own_also_before_its_next_report_is_summed_up() {
+fn reported_loads_exclude_the_box_itself_even_before_totals_are_updated() {
     let mut collector = Collector::new("north");
     collector.receive(report(1, 1, 5), ip(1), at(0));
     collector.receive(report(2, 1, 7), ip(2), at(0));
-    collector.receive_part(part(9, 4, 20), ABROAD, at(0));
+    collector.receive_part(part(9, 4, 20), REMOTE_IP, at(0));
     collector.update_totals(at(10));
-    assert_eq!(told(&collector, 1, "e0"), 27);
-    assert_eq!(told(&collector, 2, "e0"), 25);
+    assert_eq!(running_elsewhere(&collector, 1, "e0"), 27);
+    assert_eq!(running_elsewhere(&collector, 2, "e0"), 25);
     collector.receive(report(1, 2, 500), ip(1), at(20));
-    assert_eq!(told(&collector, 1, "e0"), 27);
+    assert_eq!(running_elsewhere(&collector, 1, "e0"), 27);
     collector.update_totals(at(30));
-    assert_eq!(told(&collector, 2, "e0"), 520);
+    assert_eq!(running_elsewhere(&collector, 2, "e0"), 520);
 }
 
 #[test]
-fn collectors_tell_each_other_only_what_is_reported_to_them() {
+fn collectors_exchange_only_loads_of_their_own_boxes() {
     let mut collector = Collector::new("north");
     assert!(collector.parts(Incarnation(1)).is_empty());
     collector.receive(report(1, 1, 5), ip(1), at(0));
-    collector.receive_part(part(9, 4, 20), ABROAD, at(0));
+    collector.receive_part(part(9, 4, 20), REMOTE_IP, at(0));
     collector.update_totals(at(10));
     let parts = collector.parts(Incarnation(1));
     assert_eq!(parts.len(), 1);
@@ -195,40 +198,40 @@
     assert_eq!(parts[0].loads, [load_of("e0", 5)]);
     assert_eq!(boxes(&collector), 5);
     let peers: Vec<_> = collector.peers().collect();
-    assert_eq!(peers, [("south", ABROAD)]);
-    // A domain that is cut off is forgotten.
+    assert_eq!(peers, [("south", REMOTE_IP)]);
+    // A domain that is cut off expires.
     collector.receive(report(1, 2, 5), ip(1), at(1_900));
     collector.update_totals(at(2_000));
-    assert_eq!(told(&collector, 2, "e0"), 5);
+    assert_eq!(running_elsewhere(&collector, 2, "e0"), 5);
     assert_eq!(boxes(&collector), 1);
 }
 
 #[test]
-fn two_collectors_of_one_domain_add_up() {
+fn loads_of_two_collectors_in_one_domain_are_summed() {
     let mut collector = Collector::new("north");
-    collector.receive_part(part(8, 2, 20), ABROAD, at(0));
-    collector.receive_part(part(9, 3, 4), ABROAD, at(0));
-    collector.receive_part(part(8, 2, 21), ABROAD, at(100));
+    collector.receive_part(part(8, 2, 20), REMOTE_IP, at(0));
+    collector.receive_part(part(9, 3, 4), REMOTE_IP, at(0));
+    collector.receive_part(part(8, 2, 21), REMOTE_IP, at(100));
     collector.update_totals(at(110));
-    assert_eq!(told(&collector, 1, "e0"), 25);
+    assert_eq!(running_elsewhere(&collector, 1, "e0"), 25);
     assert_eq!(boxes(&collector), 5);
 }
 
 #[test]
-fn a_box_that_restarts_or_leaves_for_another_collector_counts_once() {
+fn box_that_restarts_or_changes_collector_is_counted_once() {
     let mut collector = Collector::new("north");
     collector.receive(report(1, 9, 5), ip(1), at(0));
     collector.receive(report(2, 9, 5), ip(2), at(0));
-    // The first has a new run at the same address; the second reports elsewhere.
+    // The first box restarts at the same address; the second moves to another collector.
     collector.receive(report(7, 1, 0), ip(1), at(300));
     collector.leave(Incarnation(2));
     collector.update_totals(at(310));
     assert_eq!(boxes(&collector), 1);
-    assert_eq!(told(&collector, 3, "e0"), 0);
+    assert_eq!(running_elsewhere(&collector, 3, "e0"), 0);
 }
 
 #[test]
-fn the_end_of_what_ran_on_a_target_is_told() {
+fn end_of_load_on_a_target_is_reported() {
     let mut collector = Collector::new("north");
     collector.receive(report(1, 1, 5), ip(1), at(0));
     collector.update_totals(at(0));
@@ -245,7 +248,7 @@
 }
 
 #[test]
-fn few_reports_tell_a_box_of_every_target() {
+fn two_answers_cover_all_targets() {
     let mut collector = Collector::new("north");
     let targets: Vec<String> = (0..190).map(|number| format!("e{number}")).collect();
     let loads = targets.iter().map(|target| load_of(target, 3)).collect();
@@ -259,15 +262,15 @@
     );
     collector.update_totals(at(0));
     let answers = (6..8).flat_map(|number| collector.answers(Incarnation(2), number));
-    let heard: BTreeSet<Arc<str>> = answers
+    let received: BTreeSet<Arc<str>> = answers
         .flat_map(|others| others.loads)
-        .map(|told| told.target.id)
+        .map(|reported| reported.target.id)
         .collect();
-    assert_eq!(heard.len(), 190);
+    assert_eq!(received.len(), 190);
 }
 
 #[test]
-fn a_report_is_answered_though_nothing_runs_anywhere() {
+fn report_is_answered_without_any_load() {
     let mut collector = Collector::new("north");
     let idle = Report {
         loads: Vec::new(),
@@ -280,7 +283,7 @@
 }
 
 #[test]
-fn counts_beyond_reason_do_not_overflow() {
+fn extreme_counts_do_not_overflow() {
     let mut collector = Collector::new("north");
     for run in 1..5 {
         let loads = vec![TargetLoad {
@@ -294,11 +297,11 @@
                 queue: None,
             },
         }];
-        let told = Part {
+        let reported = Part {
             loads,
             ..part(run, u32::MAX, 0)
         };
-        collector.receive_part(told, ABROAD, at(0));
+        collector.receive_part(reported, REMOTE_IP, at(0));
     }
     collector.update_totals(at(0));
     assert_eq!(boxes(&collector), u32::MAX);
@@ -308,7 +311,7 @@
 }
 
 #[test]
-fn a_box_tells_of_targets_on_which_it_has_requests() {
+fn box_reports_only_targets_with_its_requests() {
     let (mut fleet, keys) = fleet([entry(0, "a", "small", 0..8), entry(1, "a", "small", 8..16)]);
     fleet.begin(&keys[..1], 250.0);
     let report = own_report(Incarnation(9), 4, &fleet, at(0));
@@ -317,11 +320,15 @@
 }
 
 #[test]
-fn prompts_that_wait_are_told_until_they_are_read() {
+fn waiting_prompts_are_reported_until_prefilled() {
     let (mut fleet, keys) = fleet([entry(0, "a", "small", 0..8), entry(1, "a", "small", 8..16)]);
     fleet.begin_prefill(&keys, 800.0);
     let report = own_report(Incarnation(9), 1, &fleet, at(0));
-    let reading: Vec<u32> = report.loads.iter().map(|told| told.load.reading).collect();
+    let reading: Vec<u32> = report
+        .loads
+        .iter()
+        .map(|reported| reported.load.reading)
+        .collect();
     assert_eq!(reading, [400, 400]);
     fleet.end_prefill(&keys, 800.0);
     assert!(
@@ -331,44 +338,45 @@
     );
 }
 
-/// Figures before: on one cut 15,500 of 18,076 log lines were of boxes that each found out by itself.
+/// Guards against each box detecting the same unresponsive target on its own: during one network cut that caused
+/// 15,500 of 18,076 log lines.
 #[test]
-fn a_target_that_several_boxes_found_silent_is_the_last_choice_of_others_too() {
+fn target_unresponsive_for_several_boxes_is_avoided_by_all() {
     let (mut here, keys) = fleet([entry(0, "a", "small", 0..8)]);
-    let health = &mut here.get_mut(keys[0]).expect("it is known").health;
+    let health = &mut here.get_mut(keys[0]).expect("target exists").health;
     health.mark_dead(at(0));
     let mut collector = Collector::new("north");
     let (mut there, _) = fleet([entry(0, "a", "small", 0..8)]);
     let mut remote_loads = RemoteLoads::default();
     for run in 1..=2 {
-        // One box alone may have lost its own link.
+        // A single box may have lost its own link.
         remote_loads.receive(collector.all_except(Incarnation(9)), &mut there, at(100));
         assert!(!first(&there).is_reported_unresponsive());
-        let told = own_report(Incarnation(run), 1, &here, at(100));
-        collector.receive(told, ip(run), at(100));
+        let reported = own_report(Incarnation(run), 1, &here, at(100));
+        collector.receive(reported, ip(run), at(100));
         collector.update_totals(at(100));
     }
     remote_loads.receive(collector.all_except(Incarnation(9)), &mut there, at(110));
     assert!(first(&there).is_reported_unresponsive());
-    // It holds no longer than it is told.
+    // It expires with the reports.
     remote_loads.remove_expired(&mut there, at(2_000));
     assert!(!first(&there).is_reported_unresponsive());
-    let health = &mut here.get_mut(keys[0]).expect("it is known").health;
+    let health = &mut here.get_mut(keys[0]).expect("target exists").health;
     health.mark_alive(at(2_000));
-    let told = own_report(Incarnation(1), 2, &here, at(2_000));
-    assert!(told.loads.is_empty());
+    let reported = own_report(Incarnation(1), 2, &here, at(2_000));
+    assert!(reported.loads.is_empty());
 }
 
 #[test]
-fn loads_on_two_runs_under_one_id_are_not_summed_and_those_of_the_earlier_run_count_for_nothing() {
+fn loads_of_an_earlier_run_under_the_same_id_are_ignored() {
     let mut collector = Collector::new("north");
     for (box_run, (start, running)) in (1..).zip([(1_000, 40), (2_000, 3), (2_000, 4)]) {
-        let told = TargetLoad {
+        let reported = TargetLoad {
             target: run_entry(start).run(),
             ..load_of("e0", running)
         };
         let report = Report {
-            loads: vec![told],
+            loads: vec![reported],
             ..report(box_run, 1, 0)
         };
         collector.receive(report, ip(box_run), at(0));
@@ -399,16 +407,19 @@
     chunks.enumerate().map(page).collect()
 }
 
-/// Targets with a load that the collector knows of box 1.
+/// Number of targets with a load that the collector knows from box 1.
 fn targets_known(collector: &mut Collector, ms: u64) -> usize {
     collector.update_totals(at(ms));
     let others = collector.all_except(Incarnation(9));
-    let busy = others.loads.iter().filter(|told| told.load.running > 0);
+    let busy = others
+        .loads
+        .iter()
+        .filter(|reported| reported.load.running > 0);
     busy.count()
 }
 
 #[test]
-fn a_report_of_which_a_page_is_lost_leaves_the_one_before_it() {
+fn report_with_a_lost_page_leaves_the_previous_report() {
     let mut collector = Collector::new("north");
     for page in pages(1, 100) {
         collector.receive_page(page, ip(1), at(0));
@@ -425,7 +436,7 @@
 }
 
 #[test]
-fn pages_that_are_late_or_corrupt_change_nothing() {
+fn late_or_corrupt_pages_change_nothing() {
     let mut collector = Collector::new("north");
     let late = pages(1, 100);
     for page in pages(2, 90) {
@@ -442,26 +453,30 @@
     assert_eq!(targets_known(&mut collector, 0), 90);
 }
 
-/// A fleet with one target that states `waiting` requests to this box at `ms`.
-fn stated(waiting: u32, ms: u64) -> Fleet {
+/// A fleet with one target that reported `waiting` queued requests to this box at `ms`.
+fn fleet_with_queue(waiting: u32, ms: u64) -> Fleet {
     let (mut fleet, keys) = fleet([entry(0, "north", "small", 0..8)]);
-    let engine = fleet.get_mut(keys[0]).expect("it is known");
+    let engine = fleet.get_mut(keys[0]).expect("target exists");
     engine.queues.record(waiting, at(ms));
     fleet
 }
 
 fn waiting(fleet: &Fleet, ms: u64) -> Option<u32> {
-    let key = fleet.find("e0").expect("it is known");
-    fleet.get(key).expect("it is known").queues.waiting(at(ms))
+    let key = fleet.find("e0").expect("target exists");
+    fleet
+        .get(key)
+        .expect("target exists")
+        .queues
+        .waiting(at(ms))
 }
 
 #[test]
-fn the_newest_queue_that_a_target_stated_to_any_box_is_known_to_all_until_it_expires() {
+fn newest_queue_length_from_any_box_is_shared_until_it_expires() {
     let mut collector = Collector::new("north");
     for (run, fleet) in [
-        (1, stated(30, 100)),
-        (2, stated(50, 400)),
-        (3, stated(9, 200)),
+        (1, fleet_with_queue(30, 100)),
+        (2, fleet_with_queue(50, 400)),
+        (3, fleet_with_queue(9, 200)),
     ] {
         collector.receive(
             own_report(Incarnation(run), 1, &fleet, at(500)),
@@ -482,6 +497,6 @@
     assert_eq!(
         own.loads,
         [],
-        "what others received is not reported as this box's own"
+        "queues reported by other boxes are not reported as this box's own"
     );
 }
--- a/reachtally-core/tests/core/forward/mod.rs
+++ b/reachtally-core/tests/core/forward/mod.rs
@@ -1,4 +1,4 @@
-//! Forwarded requests: tables, choices and placement.
+//! Tests of forwarded requests: tables, selection and placement.
 
 mod admission;
 mod budget;
--- a/reachtally-core/tests/core/forward/path.rs
+++ b/reachtally-core/tests/core/forward/path.rs
@@ -1,4 +1,4 @@
-//! A path runs every layer once and in order, or it is none.
+//! Tests of the invariant that a path runs every layer exactly once and in order.
 
 use reachtally_core::forward::cost::Layers;
 use reachtally_core::forward::path::{Part, Path, PathError};
@@ -9,7 +9,7 @@
     let entries = (0..ranges.len()).map(|n| entry(n as u16, "a", "small", ranges[n].clone()));
     let (fleet, keys) = fleet(entries);
     let parts = keys.iter().map(|key| {
-        let engine = fleet.get(*key).expect("it was put in");
+        let engine = fleet.get(*key).expect("engine was inserted");
         Part {
             engine: *key,
             address: engine.entry.address,
@@ -20,14 +20,14 @@
 }
 
 #[test]
-fn contiguous_parts_from_first_to_last_layer_are_a_path() {
-    let path = try_new(&[0..20, 20..50, 50..80]).expect("it is whole");
+fn contiguous_parts_over_all_layers_form_a_path() {
+    let path = try_new(&[0..20, 20..50, 50..80]).expect("path is complete");
     assert_eq!(path.engines().len(), 3);
     assert_eq!(path.first().layers, 0..20);
 }
 
 #[test]
-fn gaps_overlaps_and_empty_parts_are_refused() {
+fn gaps_overlaps_and_empty_parts_are_rejected() {
     assert_eq!(
         try_new(&[0..20, 21..80]),
         Err(PathError::Discontinuous { at: 20 })
@@ -47,7 +47,7 @@
 }
 
 #[test]
-fn a_path_that_ends_early_or_late_is_refused() {
+fn path_that_ends_early_or_late_is_rejected() {
     assert_eq!(
         try_new(&[0..20, 20..79]),
         Err(PathError::Incomplete { end: 79 })
@@ -60,8 +60,8 @@
 }
 
 #[test]
-fn an_engine_twice_or_too_many_parts_are_refused() {
-    let path = try_new(&[0..20, 20..80]).expect("it is whole");
+fn duplicate_engine_or_too_many_parts_are_rejected() {
+    let path = try_new(&[0..20, 20..80]).expect("path is complete");
     let mut parts = path.parts().to_vec();
     parts[1].engine = parts[0].engine;
     assert_eq!(Path::try_new(parts, 80), Err(PathError::DuplicateEngine));
--- a/reachtally-core/tests/core/forward/placement.rs
+++ b/reachtally-core/tests/core/forward/placement.rs
@@ -1,20 +1,20 @@
-//! Which layers engines are given.
+//! Tests of the assignment of layers to engines.
 
 use reachtally_core::forward::cost::LayerModel;
 use reachtally_core::forward::placement::{GiveUp, Host, Move, moves, plan};
 
 use super::setup::{hosts, model};
 
-/// Carry out moves.
+/// Applies moves.
 fn place(hosts: &mut [Host], moves: &[Move]) {
     for placed in moves {
         let host = hosts.iter_mut().find(|host| host.engine == placed.engine);
-        host.expect("the engine is known").layers = placed.layers.clone();
+        host.expect("the engine has a host").layers = placed.layers.clone();
     }
 }
 
-/// Repair until nothing is left to do; yields the number of moves.
-fn settle(model: &LayerModel, hosts: &mut [Host]) -> usize {
+/// Applies moves until none are planned; returns their number.
+fn converge(model: &LayerModel, hosts: &mut [Host]) -> usize {
     let mut count = 0;
     for _ in 0..20 {
         let next = moves(model, hosts);
@@ -24,11 +24,11 @@
         count += next.len();
         place(hosts, &next);
     }
-    panic!("placement does not settle");
+    panic!("placement does not converge");
 }
 
-/// How many engines hold each layer.
-fn cover(model: &LayerModel, hosts: &[Host]) -> Vec<usize> {
+/// Number of engines that hold each layer.
+fn holders_per_layer(model: &LayerModel, hosts: &[Host]) -> Vec<usize> {
     let holds = |layer: u32| {
         hosts
             .iter()
@@ -38,8 +38,8 @@
     (0..model.layers).map(holds).collect()
 }
 
-/// KV tokens for each layer, all engines together.
-fn least_room(model: &LayerModel, hosts: &[Host]) -> f64 {
+/// KV tokens of all engines together for the layer that has the fewest.
+fn min_kv_tokens(model: &LayerModel, hosts: &[Host]) -> f64 {
     let room = |layer: u32| -> f64 {
         let holders = hosts.iter().filter(|host| host.layers.contains(&layer));
         holders
@@ -60,11 +60,15 @@
 }
 
 #[test]
-fn an_empty_group_covers_every_layer_and_never_more_than_a_card_holds() {
+fn placement_covers_every_layer_within_the_memory_of_each_card() {
     let model = model();
     for mut hosts in fleets() {
-        settle(&model, &mut hosts);
-        assert!(cover(&model, &hosts).iter().all(|count| *count > 0));
+        converge(&model, &mut hosts);
+        assert!(
+            holders_per_layer(&model, &hosts)
+                .iter()
+                .all(|count| *count > 0)
+        );
         for host in &hosts {
             let layers = host.layers.len() as f64;
             assert!(layers * model.layer_mb <= host.card.memory_mb, "{host:?}");
@@ -74,7 +78,7 @@
 }
 
 #[test]
-fn fast_cards_form_a_chain_of_their_own() {
+fn fast_cards_form_a_chain_without_slow_ones() {
     let model = model();
     let mut hosts = hosts("a", &[("large", 1), ("middle", 3), ("small", 8)]);
     let planned = plan(&model, &hosts, f64::INFINITY);
@@ -88,27 +92,27 @@
 }
 
 #[test]
-fn a_group_that_is_in_order_is_left_alone() {
+fn stable_placement_plans_no_moves() {
     let model = model();
     for mut hosts in fleets() {
-        settle(&model, &mut hosts);
+        converge(&model, &mut hosts);
         assert_eq!(moves(&model, &hosts), Vec::new());
     }
 }
 
 #[test]
-fn after_any_one_death_every_layer_is_held_again() {
+fn every_layer_is_covered_again_after_any_single_failure() {
     let model = model();
     for fleet in fleets() {
         let mut whole = fleet;
-        settle(&model, &mut whole);
+        converge(&model, &mut whole);
         for dead in 0..whole.len() {
-            let mut left = whole.clone();
-            left.remove(dead);
-            settle(&model, &mut left);
-            let cover = cover(&model, &left);
+            let mut remaining = whole.clone();
+            remaining.remove(dead);
+            converge(&model, &mut remaining);
+            let holders_per_layer = holders_per_layer(&model, &remaining);
             assert!(
-                cover.iter().all(|count| *count > 0),
+                holders_per_layer.iter().all(|count| *count > 0),
                 "without {:?}",
                 whole[dead]
             );
@@ -117,28 +121,28 @@
 }
 
 #[test]
-fn small_cards_move_into_the_gap_that_a_fast_card_leaves() {
+fn small_cards_cover_the_gap_left_by_a_fast_card() {
     let model = model();
     let mut hosts = hosts("b", &[("large", 1), ("middle", 6), ("small", 5)]);
-    settle(&model, &mut hosts);
-    let before = least_room(&model, &hosts);
+    converge(&model, &mut hosts);
+    let before = min_kv_tokens(&model, &hosts);
     let dead = hosts.iter().position(|host| host.layers.contains(&55));
-    hosts.remove(dead.expect("a middle card holds it alone"));
-    assert_eq!(least_room(&model, &hosts), 0.0);
-    let moved = settle(&model, &mut hosts);
-    let after = least_room(&model, &hosts);
+    hosts.remove(dead.expect("one middle card alone holds layer 55"));
+    assert_eq!(min_kv_tokens(&model, &hosts), 0.0);
+    let moved = converge(&model, &mut hosts);
+    let after = min_kv_tokens(&model, &hosts);
     assert!(moved <= 4, "{moved} moves");
     assert!(after > 0.25 * before, "{after} of {before}");
 }
 
 #[test]
-fn engines_that_others_need_stay_where_they_are() {
+fn needed_engines_keep_their_layers_after_a_failure() {
     let model = model();
     let mut hosts = hosts("a", &[("large", 1), ("middle", 3), ("small", 8)]);
-    settle(&model, &mut hosts);
+    converge(&model, &mut hosts);
     hosts.retain(|host| host.card.memory_mb < 70_000.0);
     let before = hosts.clone();
-    settle(&model, &mut hosts);
+    converge(&model, &mut hosts);
     for (before, after) in before.iter().zip(&hosts) {
         let is_middle = before.card.memory_mb > 40_000.0;
         assert!(
@@ -149,21 +153,21 @@
 }
 
 #[test]
-fn an_engine_that_comes_back_empty_is_given_layers_again() {
+fn engine_that_returns_empty_is_assigned_layers_again() {
     let model = model();
     let mut hosts = hosts("a", &[("large", 1), ("middle", 3), ("small", 8)]);
-    settle(&model, &mut hosts);
+    converge(&model, &mut hosts);
     let large = hosts
         .iter()
         .position(|host| host.card.memory_mb > 70_000.0)
-        .expect("there is one");
+        .expect("the fleet has a large card");
     hosts[large].layers = 0..0;
-    settle(&model, &mut hosts);
+    converge(&model, &mut hosts);
     assert!(!hosts[large].layers.is_empty());
 }
 
 #[test]
-fn domains_that_cannot_hold_the_model_alone_are_placed_together() {
+fn domains_too_small_for_the_model_are_placed_together() {
     let model = model();
     let mut all = hosts("a", &[("large", 1)]);
     all.extend(hosts("b", &[("middle", 2)]).into_iter().map(|host| Host {
@@ -174,11 +178,15 @@
         engine: renumber(&host),
         ..host
     }));
-    settle(&model, &mut all);
-    assert!(cover(&model, &all).iter().all(|count| *count > 0));
+    converge(&model, &mut all);
+    assert!(
+        holders_per_layer(&model, &all)
+            .iter()
+            .all(|count| *count > 0)
+    );
 }
 
-/// Rows of separate tables are alike; give each host of these tests its own.
+/// Keys of separate tables coincide, so each host is given a key of its own.
 fn renumber(host: &Host) -> reachtally_core::forward::fleet::EngineKey {
     use slotmap::{Key, KeyData};
     let offset = u64::from(host.domain.as_bytes()[0]) << 8;
@@ -186,13 +194,13 @@
 }
 
 #[test]
-fn nothing_is_placed_where_the_model_does_not_fit() {
+fn nothing_is_placed_if_the_model_does_not_fit() {
     let model = model();
     let hosts = hosts("a", &[("small", 3)]);
     assert_eq!(moves(&model, &hosts), Vec::new());
 }
 
-/// A chain whose last layers nobody holds, and small engines that hold its first ones too.
+/// A chain without an engine for its last layers, and small engines that duplicate its first ones.
 fn with_a_gap(running: [f64; 3]) -> Vec<Host> {
     let mut hosts = hosts("a", &[("large", 1), ("middle", 3), ("small", 3)]);
     let layers = [0..30, 30..46, 46..60, 60..72, 0..10, 0..10, 0..10];
@@ -207,7 +215,7 @@
 }
 
 #[test]
-fn a_gap_is_closed_at_once_by_the_engine_that_has_least_to_give_up() {
+fn gap_is_closed_at_once_by_the_engine_with_least_running() {
     for idle in 0..3 {
         let mut running = [30.0; 3];
         running[idle] = 0.0;
@@ -221,10 +229,10 @@
 }
 
 #[test]
-fn an_engine_that_adds_to_what_is_held_waits_for_what_passes_it() {
+fn move_that_only_adds_capacity_waits_for_running_requests() {
     let mut hosts = with_a_gap([0.0; 3]);
     hosts[6].layers = 72..80;
-    // Far too few tokens for the requests that the rest could run.
+    // Too few tokens for the requests that the other layers could run.
     hosts[3].layers = 60..80;
     let next = moves(&model(), &hosts);
     assert!(!next.is_empty());
@@ -233,41 +241,41 @@
     }
 }
 
-/// Figures before: of 99 engines seven were given the layer `0..1` alone, and so were most that came back or were
-/// added later.
+/// Guards against assigning a single layer to an engine: of 99 engines, seven held only the layer `0..1`, and so did
+/// most that restarted or were added later.
 #[test]
-fn no_card_of_a_group_that_lacks_nothing_is_left_with_a_single_layer() {
+fn spare_engines_are_not_assigned_a_single_layer() {
     let model = model();
     for spare in 0..8 {
         let mut hosts = hosts("e", &[("large", 2), ("small", 33 + spare)]);
-        settle(&model, &mut hosts);
+        converge(&model, &mut hosts);
         let least = hosts.iter().map(|host| host.layers.len()).min();
-        // The last engine of a chain holds what the others leave.
+        // The last engine of a chain holds the remaining layers.
         assert!(least >= Some(2), "{spare} spare: {least:?}");
     }
 }
 
 #[test]
-fn an_engine_that_comes_back_to_a_rich_group_adds_to_the_layers_with_least_room() {
+fn returning_engine_in_an_oversized_group_reinforces_the_scarcest_layers() {
     let model = model();
     let mut hosts = hosts("e", &[("large", 2), ("small", 36)]);
-    settle(&model, &mut hosts);
+    converge(&model, &mut hosts);
     let last = hosts.len() - 1;
     let held = std::mem::replace(&mut hosts[last].layers, 0..0);
-    let without = cover(&model, &hosts);
+    let without = holders_per_layer(&model, &hosts);
     let next = moves(&model, &hosts);
     let back = next
         .iter()
         .find(|placed| placed.engine == hosts[last].engine);
-    let layers = back.expect("it is given layers").layers.clone();
+    let layers = back.expect("the engine is assigned layers").layers.clone();
     assert!(layers.len() >= held.len() / 2, "{layers:?} after {held:?}");
     place(&mut hosts, &next);
-    let scarcest = without.iter().min().expect("there are layers");
-    assert!(cover(&model, &hosts).iter().min() >= Some(scarcest));
+    let scarcest = without.iter().min().expect("the model has layers");
+    assert!(holders_per_layer(&model, &hosts).iter().min() >= Some(scarcest));
 }
 
 /// A failure domain with many times the engines that its load needs.
-fn rich() -> Vec<Host> {
+fn oversized_domain() -> Vec<Host> {
     hosts("a", &[("large", 31), ("middle", 90), ("small", 120)])
 }
 
@@ -276,28 +284,31 @@
 }
 
 #[test]
-fn a_group_with_many_times_the_engines_that_it_needs_keeps_a_reserve() {
+fn oversized_group_keeps_a_reserve() {
     let model = model();
-    let mut hosts = rich();
-    settle(&model, &mut hosts);
-    let cover = cover(&model, &hosts);
-    assert!(cover.iter().all(|count| *count >= 8), "{cover:?}");
+    let mut hosts = oversized_domain();
+    converge(&model, &mut hosts);
+    let holders_per_layer = holders_per_layer(&model, &hosts);
+    assert!(
+        holders_per_layer.iter().all(|count| *count >= 8),
+        "{holders_per_layer:?}"
+    );
     let placed = placed(&hosts);
     assert!(placed * 2 < hosts.len(), "{placed} of {}", hosts.len());
 }
 
 #[test]
-fn more_load_takes_from_the_reserve_and_less_load_gives_nothing_back() {
+fn reserve_shrinks_with_load_and_does_not_grow_back() {
     let model = model();
-    let mut hosts = rich();
-    settle(&model, &mut hosts);
+    let mut hosts = oversized_domain();
+    converge(&model, &mut hosts);
     let ready = placed(&hosts);
     let mut before = ready;
     for running in [10.0, 40.0, 80.0, 120.0, 0.0] {
         for host in hosts.iter_mut().filter(|host| !host.layers.is_empty()) {
             host.running = running;
         }
-        settle(&model, &mut hosts);
+        converge(&model, &mut hosts);
         let now = placed(&hosts);
         assert!(now >= before, "{now} after {before} at {running}");
         before = now;
@@ -306,18 +317,18 @@
 }
 
 #[test]
-fn lost_engines_are_replaced_from_the_reserve() {
+fn failed_engines_are_replaced_from_the_reserve() {
     let model = model();
-    let mut hosts = rich();
-    settle(&model, &mut hosts);
-    let before = least_room(&model, &hosts);
+    let mut hosts = oversized_domain();
+    converge(&model, &mut hosts);
+    let before = min_kv_tokens(&model, &hosts);
     let mut number = 0;
     hosts.retain(|host| {
         number += 1;
         host.layers.is_empty() || number % 4 != 0
     });
-    assert!(least_room(&model, &hosts) < before);
-    settle(&model, &mut hosts);
-    let after = least_room(&model, &hosts);
+    assert!(min_kv_tokens(&model, &hosts) < before);
+    converge(&model, &mut hosts);
+    let after = min_kv_tokens(&model, &hosts);
     assert!(after > 0.9 * before, "{after} of {before}");
 }
--- a/reachtally-core/tests/core/forward/quarantine.rs
+++ b/reachtally-core/tests/core/forward/quarantine.rs
@@ -1,4 +1,4 @@
-//! Which requests get no more targets, and what boxes tell each other of them.
+//! Tests of the quarantine of requests that crash targets, and of its replication between boxes.
 
 use std::time::Duration;
 
@@ -32,8 +32,8 @@
     }
 }
 
-/// A table in which these ends were seen at time 0.
-fn seen(ends: &[CrashRecord]) -> Quarantine {
+/// A table with these crashes recorded at time 0.
+fn table_with(ends: &[CrashRecord]) -> Quarantine {
     let mut table = Quarantine::default();
     for end in ends {
         table.record_crash(REQUEST, ACCOUNT, *end, at(0));
@@ -48,44 +48,50 @@
 }
 
 fn exchange(from: &Quarantine, to: &mut Quarantine, now: Instant) -> bool {
-    let told = from.changes(ChangeOrigin::Any, now);
-    let news: Vec<bool> = told.iter().map(|told| to.receive(told, now)).collect();
+    let reports = from.changes(ChangeOrigin::Any, now);
+    let news: Vec<bool> = reports
+        .iter()
+        .map(|reports| to.receive(reports, now))
+        .collect();
     news.contains(&true)
 }
 
 #[test]
-fn one_end_may_be_chance() {
+fn single_crash_only_raises_suspicion() {
     assert_eq!(Quarantine::default().verdict(REQUEST), Verdict::Clear);
-    assert_eq!(seen(&[begun(1)]).verdict(REQUEST), Verdict::Suspected);
-    assert_eq!(seen(&[unknown(1)]).verdict(REQUEST), Verdict::Suspected);
+    assert_eq!(table_with(&[begun(1)]).verdict(REQUEST), Verdict::Suspected);
+    assert_eq!(
+        table_with(&[unknown(1)]).verdict(REQUEST),
+        Verdict::Suspected
+    );
 }
 
 #[test]
-fn two_runs_that_had_begun_it_are_enough() {
-    let table = seen(&[begun(1), begun(2)]);
+fn two_crashed_runs_that_had_begun_the_request_quarantine_it() {
+    let table = table_with(&[begun(1), begun(2)]);
     assert_eq!(table.verdict(REQUEST), Verdict::Quarantined);
     assert_eq!(table.verdict(request(2)), Verdict::Clear);
 }
 
 #[test]
-fn three_are_needed_where_it_may_only_have_waited() {
-    let two = seen(&[unknown(1), unknown(2)]);
+fn three_crashes_are_needed_if_the_request_may_only_have_waited() {
+    let two = table_with(&[unknown(1), unknown(2)]);
     assert_eq!(two.verdict(REQUEST), Verdict::Suspected);
-    let mixed = seen(&[unknown(1), begun(2)]);
+    let mixed = table_with(&[unknown(1), begun(2)]);
     assert_eq!(mixed.verdict(REQUEST), Verdict::Suspected);
-    let three = seen(&[unknown(1), unknown(2), unknown(3)]);
+    let three = table_with(&[unknown(1), unknown(2), unknown(3)]);
     assert_eq!(three.verdict(REQUEST), Verdict::Quarantined);
 }
 
 #[test]
-fn one_run_counts_once_however_many_saw_it_end() {
-    let table = seen(&[begun(1), begun(1), unknown(1)]);
+fn crash_of_one_run_counts_once_for_all_reports() {
+    let table = table_with(&[begun(1), begun(1), unknown(1)]);
     assert_eq!(table.verdict(REQUEST), Verdict::Suspected);
 }
 
 #[test]
-fn a_whole_answer_acquits_of_the_ends_before_it_alone() {
-    let mut table = seen(&[begun(1), begun(2)]);
+fn complete_answer_clears_only_earlier_crashes() {
+    let mut table = table_with(&[begun(1), begun(2)]);
     assert!(table.clear_suspicion(REQUEST, at(1)));
     assert_eq!(table.verdict(REQUEST), Verdict::Clear);
     assert!(!table.clear_suspicion(REQUEST, at(2)));
@@ -96,8 +102,8 @@
 }
 
 #[test]
-fn boxes_that_each_saw_one_end_know_both() {
-    let (mut north, mut south) = (seen(&[begun(1)]), seen(&[begun(2)]));
+fn crashes_seen_by_different_boxes_are_combined() {
+    let (mut north, mut south) = (table_with(&[begun(1)]), table_with(&[begun(2)]));
     assert!(exchange(&north, &mut south, at(0)));
     assert!(exchange(&south, &mut north, at(0)));
     for table in [&north, &south] {
@@ -107,8 +113,8 @@
 }
 
 #[test]
-fn what_is_told_late_takes_no_acquittal_back() {
-    let mut north = seen(&[begun(1), begun(2)]);
+fn late_report_does_not_revoke_an_acquittal() {
+    let mut north = table_with(&[begun(1), begun(2)]);
     let late = north.changes(ChangeOrigin::Any, at(0));
     let mut south = Quarantine::default();
     south.receive(&late[0], at(0));
@@ -119,15 +125,15 @@
 }
 
 #[test]
-fn what_a_box_only_heard_is_no_change_of_its_own() {
+fn received_crashes_are_not_own_changes() {
     let mut south = Quarantine::default();
-    exchange(&seen(&[begun(1)]), &mut south, at(0));
+    exchange(&table_with(&[begun(1)]), &mut south, at(0));
     assert!(south.changes(ChangeOrigin::Own, at(0)).is_empty());
     assert_eq!(south.changes(ChangeOrigin::Any, at(0)).len(), 1);
 }
 
 #[test]
-fn changes_are_told_for_a_moment_and_all_page_by_page() {
+fn changes_are_sent_briefly_and_all_suspects_in_pages() {
     let mut table = Quarantine::default();
     for number in 0..2 * SUSPECTS_PER_MESSAGE + 1 {
         table.record_crash(request(number), ACCOUNT, begun(1), at(0));
@@ -138,27 +144,27 @@
         SUSPECTS_PER_MESSAGE
     );
     assert!(table.changes(ChangeOrigin::Own, after(800)).is_empty());
-    let mut told: Vec<Fingerprint> = (0..3)
+    let mut reports: Vec<Fingerprint> = (0..3)
         .flat_map(|number| table.page(number, at(3)))
-        .map(|told| told.fingerprint)
+        .map(|reports| reports.fingerprint)
         .collect();
-    told.sort();
-    told.dedup();
-    assert_eq!(told.len(), 2 * SUSPECTS_PER_MESSAGE + 1);
+    reports.sort();
+    reports.dedup();
+    assert_eq!(reports.len(), 2 * SUSPECTS_PER_MESSAGE + 1);
     assert_eq!(table.page(3, at(3)), table.page(0, at(3)));
 }
 
 #[test]
-fn a_case_ends_everywhere_at_the_same_time_however_often_it_is_told() {
-    let mut north = seen(&[begun(1), begun(2)]);
+fn suspect_expires_everywhere_at_once_despite_repeated_reports() {
+    let mut north = table_with(&[begun(1), begun(2)]);
     let mut south = Quarantine::default();
     let life = SUSPECT_TTL.as_secs();
     for now in [0, life / 2, life - 1] {
-        for told in north.page(0, at(now)) {
-            south.receive(&told, at(now));
+        for reports in north.page(0, at(now)) {
+            south.receive(&reports, at(now));
         }
-        for told in south.page(0, at(now)) {
-            north.receive(&told, at(now));
+        for reports in south.page(0, at(now)) {
+            north.receive(&reports, at(now));
         }
     }
     for mut table in [north, south] {
@@ -170,8 +176,8 @@
 }
 
 #[test]
-fn what_is_refused_lately_stays() {
-    let mut table = seen(&[begun(1), begun(2)]);
+fn recently_refused_request_stays_quarantined() {
+    let mut table = table_with(&[begun(1), begun(2)]);
     let life = SUSPECT_TTL.as_secs();
     table.refused(REQUEST, at(life - 1));
     table.remove_expired(at(life + 100));
@@ -179,8 +185,8 @@
 }
 
 #[test]
-fn an_account_cannot_push_out_the_others() {
-    let mut table = seen(&[begun(1), begun(2)]);
+fn flooding_account_cannot_evict_suspects_of_others() {
+    let mut table = table_with(&[begun(1), begun(2)]);
     let flooding = AccountDigest(8);
     for number in 0..10 * MAX_SUSPECTS {
         table.record_crash(request(number), flooding, begun(3), at(1));
@@ -190,7 +196,7 @@
 }
 
 #[test]
-fn a_flood_by_many_accounts_is_bounded_and_leaves_those_that_are_stopped() {
+fn flood_by_many_accounts_is_bounded_and_keeps_quarantined_requests() {
     let mut table = Quarantine::default();
     for number in 0..10 * MAX_SUSPECTS {
         let account = AccountDigest((number % 100) as u32);
@@ -204,7 +210,7 @@
 }
 
 #[test]
-fn many_ends_of_one_request_are_bounded_and_settle() {
+fn crash_records_of_one_request_are_bounded_and_converge() {
     let mut tables = [Quarantine::default(), Quarantine::default()];
     for run in 0..100 {
         let table = &mut tables[run as usize % 2];
@@ -222,23 +228,23 @@
 }
 
 #[test]
-fn a_message_without_ends_or_life_is_nothing() {
+fn report_without_crashes_or_ttl_is_ignored() {
     let mut table = Quarantine::default();
-    let told = SuspectReport {
+    let reports = SuspectReport {
         fingerprint: REQUEST,
         account: ACCOUNT,
         life: SUSPECT_TTL,
         ends: Vec::new(),
     };
-    assert!(!table.receive(&told, at(0)));
+    assert!(!table.receive(&reports, at(0)));
     let over = SuspectReport {
         life: Duration::ZERO,
         ends: vec![begun(1)],
-        ..told.clone()
+        ..reports.clone()
     };
     assert!(!table.receive(&over, at(0)));
     assert!(table.is_empty());
-    // A life beyond reason is cut.
+    // An excessive time to live is capped.
     let long = SuspectReport {
         life: Duration::MAX,
         ..over
@@ -249,7 +255,7 @@
 }
 
 #[test]
-fn runs_under_one_id_are_told_apart() {
+fn runs_under_one_id_have_distinct_digests() {
     let run = |mark| TargetRun {
         id: "e-1".into(),
         mark: RunMark(mark),
--- a/reachtally-core/tests/core/forward/read_ahead.rs
+++ b/reachtally-core/tests/core/forward/read_ahead.rs
@@ -1,4 +1,4 @@
-//! How far streams are read ahead.
+//! Tests of the bound on buffered stream data.
 
 use std::time::Duration;
 
@@ -7,9 +7,9 @@
     may_read,
 };
 
-/// One caller that does not read would take all of the memory.
+/// Guards against a single caller that does not read and takes all of the memory.
 #[test]
-fn reading_stops_at_the_bound_of_the_stream_and_of_the_box() {
+fn reading_stops_at_the_limits_of_the_stream_and_of_the_box() {
     let most = max_buffered_bytes(8 * 1024 * 1024);
     assert_eq!(most, 1024 * 1024);
     let held = |stream, all| may_read(BufferedBytes { stream, all }, most);
@@ -19,9 +19,9 @@
     assert!(!held(1, most));
 }
 
-/// Slow callers would hold up the others.
+/// Guards against slow callers that block the streams of others.
 #[test]
-fn a_stream_whose_caller_has_taken_everything_goes_on() {
+fn stream_without_buffered_data_may_always_read() {
     let held = BufferedBytes {
         stream: 0,
         all: usize::MAX,
@@ -29,27 +29,27 @@
     assert!(may_read(held, 0));
 }
 
-/// A stream would be cut where its engine failed, or the engine blamed for a caller that did not read.
+/// Guards against cutting a stream whose engine failed, and against blaming an engine for a caller that did not read.
 #[test]
-fn an_engine_was_unread_only_after_a_long_pause_that_was_not_caught_up() {
+fn engine_counts_as_unread_only_after_a_long_stall_not_caught_up() {
     let ms = Duration::from_millis;
-    let mut held_up = EngineStall::default();
-    assert!(!held_up.paused(ms(1)));
-    assert!(!held_up.is_behind());
-    // A slow caller holds the engine up all the time, but never for long.
+    let mut stall = EngineStall::default();
+    assert!(!stall.paused(ms(1)));
+    assert!(!stall.is_behind());
+    // A slow caller stalls the engine repeatedly, but never for long.
     for _ in 0..10 {
-        assert!(held_up.paused(ENGINE_STALL_TOLERANCE / 2));
+        assert!(stall.paused(ENGINE_STALL_TOLERANCE / 2));
     }
-    assert!(held_up.is_behind());
-    assert!(!held_up.is_unread());
-    held_up.paused(ENGINE_STALL_TOLERANCE);
-    // Data that piled up comes with short waits only.
-    held_up.waited(ms(20));
-    held_up.paused(ms(50));
-    assert!(held_up.is_unread());
+    assert!(stall.is_behind());
+    assert!(!stall.is_unread());
+    stall.paused(ENGINE_STALL_TOLERANCE);
+    // Buffered data arrives with only short waits.
+    stall.waited(ms(20));
+    stall.paused(ms(50));
+    assert!(stall.is_unread());
     for _ in 0..10 {
-        held_up.waited(ms(20));
+        stall.waited(ms(20));
     }
-    assert!(!held_up.is_unread());
-    assert!(!held_up.is_behind());
+    assert!(!stall.is_unread());
+    assert!(!stall.is_behind());
 }
--- a/reachtally-core/tests/core/forward/readers.rs
+++ b/reachtally-core/tests/core/forward/readers.rs
@@ -1,4 +1,4 @@
-//! Which box reads the store for others, and which is asked.
+//! Tests of which boxes read the store and which boxes the others ask instead.
 
 use std::net::{IpAddr, Ipv4Addr};
 
@@ -20,7 +20,7 @@
     boxes.iter().map(member).collect()
 }
 
-/// Nine boxes at home, two abroad.
+/// Nine boxes in the own domain, and one in each of two others.
 fn usual() -> Vec<Member> {
     let home = (1..=9).map(|run| ("north", run));
     group(
@@ -46,7 +46,7 @@
     .origin()
 }
 
-/// The view of a box before anything is known, but for seeds.
+/// The view of a box that knows nothing but its seeds.
 fn first_view<'a>(run: u64, seeds: &'a [IpAddr], avoid: &'a [IpAddr]) -> GroupView<'a> {
     GroupView {
         members: &[],
@@ -61,7 +61,7 @@
     }
 }
 
-/// The view of a box on a group.
+/// The view of a box that knows the group.
 fn view(members: &[Member], run: u64) -> GroupView<'_> {
     GroupView {
         members,
@@ -70,7 +70,7 @@
 }
 
 #[test]
-fn before_the_group_is_known_boxes_ask_a_seed_and_seeds_read_the_store() {
+fn boxes_ask_seeds_and_seeds_read_the_store_until_the_group_is_known() {
     let seeds = [ip(1), ip(21)];
     assert_eq!(first_view(7, &seeds, &[]).origin(), ReadSource::Box(ip(1)));
     assert_eq!(
@@ -79,32 +79,32 @@
     );
     assert_eq!(first_view(7, &seeds, &seeds).origin(), ReadSource::Store);
     assert_eq!(first_view(21, &seeds, &[]).origin(), ReadSource::Store);
-    // Seeds may be stale; once the group is known it decides.
+    // Seeds may be stale, so a known group takes precedence.
     let group = group(&[("north", 2)]);
-    let knowing = GroupView {
+    let with_group = GroupView {
         members: &group,
         ..first_view(7, &seeds, &[])
     };
-    assert_eq!(knowing.origin(), ReadSource::Box(ip(2)));
+    assert_eq!(with_group.origin(), ReadSource::Box(ip(2)));
 }
 
 #[test]
-fn a_box_that_has_just_started_waits_for_seeds_that_start_too() {
+fn starting_box_waits_for_seeds_that_are_also_starting() {
     let seeds = [ip(1), ip(21)];
-    let young = GroupView {
+    let starting = GroupView {
         has_just_started: true,
         ..first_view(7, &seeds, &seeds)
     };
-    assert_eq!(young.origin(), ReadSource::Unavailable);
+    assert_eq!(starting.origin(), ReadSource::Unavailable);
     let without_seeds = GroupView {
         seeds: &[],
-        ..young
+        ..starting
     };
     assert_eq!(without_seeds.origin(), ReadSource::Store);
 }
 
 #[test]
-fn while_the_store_is_away_for_the_readers_boxes_outside_of_the_group_leave_it_alone() {
+fn boxes_outside_the_group_do_not_read_the_store_while_it_fails_for_readers() {
     let group = usual();
     let all = [1, 2, 3, 21, 31].map(ip);
     let waiting = GroupView {
@@ -113,13 +113,13 @@
         ..view(&group, 50)
     };
     assert_eq!(waiting.origin(), ReadSource::Unavailable);
-    let alone = GroupView {
+    let without_stale = GroupView {
         stale: &[],
         avoid: &all,
         ..waiting
     };
-    assert_eq!(alone.origin(), ReadSource::Store);
-    // Its readers go on asking the store.
+    assert_eq!(without_stale.origin(), ReadSource::Store);
+    // The readers of the group keep trying the store.
     let reader = GroupView {
         stale: &all,
         avoid: &[],
@@ -129,9 +129,9 @@
 }
 
 #[test]
-fn an_earlier_run_of_this_box_is_not_asked() {
+fn box_does_not_ask_its_own_earlier_run() {
     let group = usual();
-    // Box 1 restarted with another run; the group has not missed the earlier one yet.
+    // Box 1 restarted; the group still lists its earlier run.
     let restarted = GroupView {
         ip: ip(1),
         is_store_current: true,
@@ -143,14 +143,14 @@
 }
 
 #[test]
-fn a_box_outside_of_the_group_reads_the_store_only_where_nobody_answers() {
+fn box_outside_the_group_reads_the_store_only_if_no_reader_answers() {
     let group = usual();
     assert_eq!(origin(&group, 50, &[], true), ReadSource::Box(ip(1)));
     assert_eq!(
         origin(&group, 50, &[1, 2, 3], true),
         ReadSource::Box(ip(21))
     );
-    // Of each other domain the first reader, then the second ones.
+    // The first reader of each other domain, then the second readers.
     let mut more = group.clone();
     more.extend(self::group(&[("south", 22)]));
     assert_eq!(
@@ -159,7 +159,7 @@
     );
     let avoid = [1, 2, 3, 21, 31];
     assert_eq!(origin(&more, 50, &avoid, true), ReadSource::Box(ip(22)));
-    // A reader asks only the first ones, and then reads the store.
+    // A reader asks only the first readers of other domains, and then reads the store.
     assert_eq!(origin(&more, 2, &avoid, false), ReadSource::Store);
     assert_eq!(
         origin(&group, 50, &[1, 2, 3, 21, 31], true),
@@ -168,13 +168,13 @@
 }
 
 #[test]
-fn a_failure_domain_keeps_as_many_boxes_in_the_group_as_it_needs() {
+fn failure_domain_keeps_only_the_needed_boxes_in_the_group() {
     let full = usual();
     assert!(!view(&full, 5).is_surplus());
     assert!(view(&full, 6).is_surplus());
     assert!(!view(&full, 50).is_surplus());
     assert_eq!(view(&full, 50).join_probability(300), 0.0);
-    // While the earlier runs of boxes that restarted are still listed, nobody is superfluous for them.
+    // While earlier runs of restarted boxes are still listed, no box is surplus because of them.
     let mut restarted = group(&[("north", 1), ("north", 2), ("north", 3)]);
     let earlier = restarted.clone().into_iter().map(|member| Member {
         run: Incarnation(member.run.0 + 100),
@@ -185,12 +185,12 @@
     assert_eq!(view(&restarted, 50).missing_readers(), 0);
     let few = group(&[("north", 1), ("south", 21), ("west", 31)]);
     assert_eq!(view(&few, 50).missing_readers(), 2);
-    // Two of a hundred boxes at home.
+    // Two of a hundred boxes in the own domain.
     assert_eq!(view(&few, 50).join_probability(300), 0.02);
 }
 
 #[test]
-fn the_first_reader_reads_the_store_and_the_others_ask_it() {
+fn first_reader_reads_the_store_and_others_ask_it() {
     let group = usual();
     assert_eq!(origin(&group, 1, &[], true), ReadSource::Store);
     for run in 2..=9 {
@@ -199,7 +199,7 @@
 }
 
 #[test]
-fn the_next_reader_takes_the_place_of_one_that_failed() {
+fn next_reader_replaces_a_failed_one() {
     let group = usual();
     assert_eq!(origin(&group, 2, &[1], true), ReadSource::Store);
     assert_eq!(origin(&group, 3, &[1], true), ReadSource::Box(ip(2)));
@@ -207,7 +207,7 @@
 }
 
 #[test]
-fn a_reader_asks_no_more_than_those_before_it_and_others_ask_abroad_before_the_store() {
+fn reader_asks_only_earlier_readers_and_others_ask_other_domains_before_the_store() {
     let group = usual();
     assert_eq!(origin(&group, 3, &[1, 2], true), ReadSource::Store);
     assert_eq!(origin(&group, 9, &[1, 2], true), ReadSource::Box(ip(3)));
@@ -219,7 +219,7 @@
 }
 
 #[test]
-fn a_box_whose_own_reads_fail_asks_wherever_it_can() {
+fn box_whose_store_reads_fail_asks_all_readers() {
     let group = usual();
     assert_eq!(origin(&group, 1, &[], false), ReadSource::Box(ip(2)));
     assert_eq!(origin(&group, 1, &[2, 3], false), ReadSource::Box(ip(21)));
@@ -234,14 +234,14 @@
 }
 
 #[test]
-fn a_box_that_the_group_does_not_list_yet_asks_too() {
+fn unlisted_box_asks_a_reader() {
     let group = usual();
     assert_eq!(origin(&group, 100, &[], false), ReadSource::Box(ip(1)));
     assert_eq!(origin(&[], 100, &[], false), ReadSource::Store);
 }
 
 #[test]
-fn boxes_with_wide_links_are_readers_first() {
+fn boxes_with_fast_links_are_preferred_as_readers() {
     let mut group = usual();
     group[6].link_mbps = 200;
     assert_eq!(origin(&group, 1, &[], true), ReadSource::Box(ip(7)));
--- a/reachtally-core/tests/core/forward/repair.rs
+++ b/reachtally-core/tests/core/forward/repair.rs
@@ -1,4 +1,4 @@
-//! What holds of a repaired path whatever the fleet and its load.
+//! Properties of path repair for any fleet and load.
 
 use std::time::Duration;
 
@@ -11,17 +11,17 @@
 
 use super::setup::{NEED, SERVICE, cx, entry, fleet, model};
 
-/// A path over the first engines of a fleet, with all that they hold.
+/// A path over these engines, with all layers that they hold.
 fn path_over(fleet: &Fleet, keys: &[EngineKey]) -> Path {
     let parts = keys.iter().map(|key| {
-        let entry = &fleet.get(*key).expect("it was put in").entry;
+        let entry = &fleet.get(*key).expect("engine was inserted").entry;
         Part {
             engine: *key,
             address: entry.address,
             layers: entry.layers.clone(),
         }
     });
-    Path::try_new(parts.collect(), 80).expect("it is whole")
+    Path::try_new(parts.collect(), 80).expect("path is complete")
 }
 
 fn repaired(
@@ -33,8 +33,8 @@
     repair(fleet, SERVICE, &model(), NEED, &cx, current, dead)
 }
 
-/// The path that stands in for the middle one of three engines, with `spares` beside them.
-fn stand_in(spares: impl IntoIterator<Item = Entry>) -> Option<Vec<Part>> {
+/// The parts of the path after the middle one of three engines failed, with `spares` available.
+fn repaired_parts(spares: impl IntoIterator<Item = Entry>) -> Option<Vec<Part>> {
     let chain = [(0, 0..30), (1, 30..55), (2, 55..80)];
     let chain = chain.map(|(number, layers)| entry(number, "a", "large", layers));
     let (fleet, keys) = fleet(chain.into_iter().chain(spares));
@@ -48,27 +48,27 @@
 }
 
 #[test]
-fn a_new_part_ends_where_the_next_kept_one_begins() {
-    let parts = stand_in([entry(3, "a", "large", 20..60)]).expect("there is a path");
+fn replacement_part_ends_at_the_next_surviving_part() {
+    let parts = repaired_parts([entry(3, "a", "large", 20..60)]).expect("a path exists");
     assert_eq!(layers_of(&parts), [0..30, 30..55, 55..80]);
 }
 
 #[test]
-fn another_failure_domain_stands_in_only_where_the_own_has_no_engine() {
+fn replacement_is_in_the_own_failure_domain_if_possible() {
     let (near, far) = (
-        // Dearer, since it has less room beside its layers.
+        // Costs more, since it has less KV capacity beside its layers.
         entry(3, "a", "large", 20..60),
         entry(4, "b", "large", 30..55),
     );
     let port = |parts: Option<Vec<Part>>| parts.map(|parts| parts[1].address.port());
-    assert_eq!(port(stand_in([near, far.clone()])), Some(1003));
-    assert_eq!(port(stand_in([far])), Some(1004));
-    assert_eq!(port(stand_in([])), None);
+    assert_eq!(port(repaired_parts([near, far.clone()])), Some(1003));
+    assert_eq!(port(repaired_parts([far])), Some(1004));
+    assert_eq!(port(repaired_parts([])), None);
 }
 
-/// An engine stands in a path only once, so the kept part between two lost ones is given up.
+/// An engine occurs in a path only once, so the surviving part between two failed ones is dropped.
 #[test]
-fn one_engine_stands_in_for_two_that_died_around_a_third() {
+fn one_engine_replaces_two_failed_ones_and_the_part_between() {
     let chain = [
         (0, 0..40),
         (1, 40..50),
@@ -79,14 +79,14 @@
     let (fleet, keys) = fleet(chain.map(|(number, layers)| entry(number, "a", "large", layers)));
     let current = path_over(&fleet, &keys[..4]);
     let choice = repaired(&fleet, &current, &[keys[1], keys[3]], cx(&[]));
-    let path = choice.expect("there is a path").path;
+    let path = choice.expect("a path exists").path;
     assert_eq!(layers_of(path.parts()), [0..40, 40..80]);
 }
 
-/// Numbers of four, as bits.
+/// Selects keys by the bits set in `bits`.
 fn named(keys: &[EngineKey], bits: u8) -> Vec<EngineKey> {
-    let is_named = |(at, _): &(usize, &EngineKey)| bits >> at & 1 == 1;
-    let named = keys.iter().enumerate().filter(is_named);
+    let is_selected = |(at, _): &(usize, &EngineKey)| bits >> at & 1 == 1;
+    let named = keys.iter().enumerate().filter(is_selected);
     named.map(|(_, key)| *key).collect()
 }
 
@@ -94,7 +94,7 @@
     #![proptest_config(ProptestConfig { cases: 96, rng_seed: RngSeed::Fixed(11), failure_persistence: None, ..ProptestConfig::default() })]
 
     #[test]
-    fn what_lives_is_kept_and_the_rest_runs_on_others(
+    fn surviving_parts_are_kept_and_failed_ones_replaced(
         used in prop::collection::vec(0.0..1.2f64, 12), dead in 0u8..16, avoid: u16, draw: u64,
     ) {
         let entries = (0..12u16).map(|number| {
@@ -110,11 +110,11 @@
         let dead = named(&keys[..4], dead);
         let avoid = [named(&keys[4..8], avoid as u8), named(&keys[8..], (avoid >> 8) as u8)].concat();
         let choice = repaired(&fleet, &current, &dead, SelectionContext { draw, ..cx(&avoid) });
-        let has_stand_in = |key: &EngineKey| {
-            let at = keys.iter().position(|other| other == key).expect("it is one of them");
+        let has_replacement = |key: &EngineKey| {
+            let at = keys.iter().position(|other| other == key).expect("key is in the list");
             [at + 4, at + 8].iter().any(|at| !avoid.contains(&keys[*at]))
         };
-        let is_expected = !dead.contains(&keys[0]) && dead.iter().all(has_stand_in);
+        let is_expected = !dead.contains(&keys[0]) && dead.iter().all(has_replacement);
         prop_assert_eq!(choice.is_some(), is_expected);
         let Some(choice) = choice else { return Ok(()) };
         let parts = choice.path.parts();
@@ -123,8 +123,8 @@
             prop_assert!(!dead.contains(&part.engine) && !avoid.contains(&part.engine));
             prop_assert!(part == before || dead.contains(&before.engine));
         }
-        // Beside four hops, only new parts read.
-        let reads = choice.first - choice.token > Duration::from_millis(3);
-        prop_assert_eq!(reads, !dead.is_empty());
+        // Beyond four hops, only new parts have to prefill.
+        let has_prefill = choice.first - choice.token > Duration::from_millis(3);
+        prop_assert_eq!(has_prefill, !dead.is_empty());
     }
 }
--- a/reachtally-core/tests/core/forward/routes.rs
+++ b/reachtally-core/tests/core/forward/routes.rs
@@ -1,4 +1,4 @@
-//! Which route and account a request has.
+//! Tests of matching requests to routes and accounts.
 
 use std::time::Duration;
 
@@ -33,7 +33,7 @@
 }
 
 #[test]
-fn the_longest_prefix_that_begins_the_path_wins() {
+fn longest_matching_path_prefix_wins() {
     let table = table();
     assert_eq!(
         found(&table, "shop.example", "/a/b/c").as_deref(),
@@ -45,7 +45,7 @@
 }
 
 #[test]
-fn the_host_counts_without_its_port_and_case() {
+fn host_matches_regardless_of_port_and_case() {
     let table = table();
     assert_eq!(
         found(&table, "shop.example:8080", "/a/").as_deref(),
@@ -55,7 +55,7 @@
 }
 
 #[test]
-fn keys_name_accounts_and_public_routes_need_none() {
+fn keys_identify_accounts_and_public_routes_need_no_key() {
     let mut table = table();
     assert!(
         table
@@ -71,7 +71,7 @@
     let known = table
         .account(&route("r", false), Some("secret"))
         .expect("the key is known");
-    assert_eq!(&*known.expect("it has an account").name, "acme");
+    assert_eq!(&*known.expect("the key belongs to an account").name, "acme");
     let denied = table.account(&route("r", false), Some("wrong"));
     assert_eq!(denied.err(), Some(Denied::UnknownKey));
     assert_eq!(
@@ -82,7 +82,7 @@
 }
 
 #[test]
-fn a_configuration_whose_accounts_have_no_keys_lets_nobody_in() {
+fn accounts_without_keys_deny_all_requests() {
     let mut table = table();
     table.require_keys();
     assert_eq!(
@@ -92,14 +92,15 @@
 }
 
 #[test]
-fn services_share_a_route_by_weight() {
+fn requests_of_a_route_are_split_by_service_weight() {
     let route = route("r", false);
-    let one = (0..1000).filter(|draw| &**route.service(*draw).expect("there are two") == "one");
+    let one = (0..1000)
+        .filter(|draw| &**route.service(*draw).expect("the route has two services") == "one");
     assert_eq!(one.count(), 900);
 }
 
-/// A table whose service `pool` has routes with these priorities, for accounts with those.
-fn ranked(routes: &[u8], accounts: &[Option<u8>]) -> Table {
+/// A table whose service `pool` has routes and accounts with these priorities.
+fn table_with_priorities(routes: &[u8], accounts: &[Option<u8>]) -> Table {
     let mut table = Table::new(1);
     for priority in routes {
         let route = Route {
@@ -119,10 +120,11 @@
     table
 }
 
-/// All accounts had the same priority, which hid that of the routes: the least urgent kind was served most.
+/// Guards against accounts with equal priorities that hide those of the routes: the least urgent requests were then
+/// served most.
 #[test]
-fn routes_order_the_requests_of_accounts_with_the_same_priority() {
-    let table = ranked(&[0, 1, 2], &[Some(1), Some(0)]);
+fn route_priority_orders_requests_of_accounts_with_equal_priority() {
+    let table = table_with_priorities(&[0, 1, 2], &[Some(1), Some(0)]);
     let priority = |account, route| table.priority("pool", Urgency::new(Some(account), route));
     let priorities: Vec<u8> = [(0, 0), (0, 1), (0, 2), (1, 0), (1, 1), (1, 2)]
         .map(|(account, route)| priority(account, route))
@@ -132,8 +134,8 @@
 }
 
 #[test]
-fn accounts_without_a_priority_have_that_of_the_route() {
-    let table = ranked(&[0, 2], &[None, Some(1)]);
+fn accounts_without_a_priority_use_that_of_the_route() {
+    let table = table_with_priorities(&[0, 2], &[None, Some(1)]);
     let rank = |account, route| table.rank("pool", Urgency::new(account, route));
     assert_eq!(rank(None, 0), 0);
     assert_eq!(rank(Some(1), 0), 1);
@@ -142,16 +144,16 @@
 }
 
 #[test]
-fn targets_of_routes_with_one_priority_get_that_of_the_account() {
-    let table = ranked(&[2], &[Some(1), Some(7)]);
+fn account_priority_is_passed_to_targets_if_all_routes_have_one_priority() {
+    let table = table_with_priorities(&[2], &[Some(1), Some(7)]);
     let priority = |account| table.priority("pool", Urgency::new(Some(account), 2));
     assert_eq!((priority(1), priority(7)), (1, 7));
     assert_eq!(table.urgencies("elsewhere"), []);
 }
 
-/// Admission is switched on by several ranks, so accounts that override the routes' priorities must not leave those in.
+/// Admission is enabled by more than one rank, so route priorities that all accounts override must not count.
 #[test]
-fn urgencies_of_a_service_are_those_that_its_requests_may_have() {
+fn service_has_only_urgencies_that_its_requests_can_have() {
     let mut table = Table::new(1);
     table.add_route("shop.example", "/a/", route("a", false));
     let other = Route {
@@ -175,7 +177,7 @@
 }
 
 #[test]
-fn the_shortest_objective_of_a_service_is_that_of_any_of_its_routes() {
+fn shortest_objective_of_a_service_is_the_minimum_over_its_routes() {
     let mut table = table();
     let slow = Route {
         objective: Duration::from_secs(4),
--- a/reachtally-core/tests/core/forward/select.rs
+++ b/reachtally-core/tests/core/forward/select.rs
@@ -1,4 +1,4 @@
-//! Which engines a request runs on.
+//! Tests of path selection.
 
 use std::collections::{BTreeSet, HashMap};
 use std::time::Duration;
@@ -10,13 +10,13 @@
     Choice, LatencyObjectives, NoPathReasons, Requirements, SelectionContext, no_path_reasons, path,
 };
 
-use super::setup::{AIM, NEED, SERVICE, cx, entry, fleet, instance, model};
+use super::setup::{NEED, OBJECTIVES, SERVICE, cx, entry, fleet, instance, model};
 
 fn choose(fleet: &Fleet, avoid: &[EngineKey]) -> Option<Choice> {
     path(fleet, SERVICE, &model(), NEED, &cx(avoid))
 }
 
-/// Two whole chains in domain `a`, the first of faster cards, and one in `b`.
+/// Two chains in domain `a`, the first with faster cards, and one in `b`.
 fn two_domains() -> (Fleet, Vec<EngineKey>) {
     fleet([
         entry(0, "a", "large", 0..30),
@@ -33,7 +33,7 @@
     ])
 }
 
-/// Of 1,000 requests, how many have each engine as their first.
+/// For 1,000 requests, how many start on each engine.
 fn first_engines(
     fleet: &Fleet,
     need: Requirements,
@@ -42,36 +42,36 @@
     let mut firsts = HashMap::new();
     for draw in 0..1000 {
         let cx = SelectionContext { draw, ..cx };
-        let choice = path(fleet, SERVICE, &model(), need, &cx).expect("there is a path");
+        let choice = path(fleet, SERVICE, &model(), need, &cx).expect("a path exists");
         *firsts.entry(choice.path.engines()[0]).or_default() += 1;
     }
     firsts
 }
 
-/// Requests of 1,000 whose first engine is `key`.
+/// Number of 1,000 requests that start on `key`.
 fn share_of(fleet: &Fleet, key: EngineKey, need: Requirements, cx: SelectionContext<'_>) -> u32 {
     let firsts = first_engines(fleet, need, cx);
     firsts.get(&key).copied().unwrap_or_default()
 }
 
-/// The same of usual requests.
+/// Number of 1,000 typical requests that start on `key`.
 fn share(fleet: &Fleet, key: EngineKey) -> u32 {
     share_of(fleet, key, NEED, cx(&[]))
 }
 
 #[test]
-fn an_idle_fleet_serves_most_at_home_on_the_fastest_cards() {
+fn idle_fleet_serves_most_requests_locally_on_the_fastest_cards() {
     let (fleet, keys) = two_domains();
     let firsts = first_engines(&fleet, NEED, cx(&[]));
     let of = |key| firsts.get(&key).copied().unwrap_or_default();
-    let (fast, slow, abroad) = (of(keys[0]), of(keys[4]), of(keys[7]));
-    assert!(fast > abroad && abroad > 5 * slow, "{fast} {abroad} {slow}");
-    // Among chains that begin with the fast card the rest is the same.
-    let choice = choose(&fleet, &keys[4..]).expect("there is a path");
+    let (fast, slow, remote) = (of(keys[0]), of(keys[4]), of(keys[7]));
+    assert!(fast > remote && remote > 5 * slow, "{fast} {remote} {slow}");
+    // Chains that start with the fast card have the same remaining engines.
+    let choice = choose(&fleet, &keys[4..]).expect("a path exists");
     assert_eq!(choice.path.engines(), &keys[0..4]);
 }
 
-/// Equal chains in each of two failure domains, of which the second has the faster cards, and the rows of the first.
+/// Equal chains in two failure domains, the second of which has the faster cards, and the keys of the first domain.
 fn many_chains() -> (Fleet, Vec<EngineKey>) {
     const CHAINS: u16 = 10;
     let chain = |number: u16, domain: &'static str, card: &'static str| {
@@ -80,49 +80,49 @@
         parts.map(move |(layers, number)| entry(number, domain, card, layers))
     };
     let home = (0..CHAINS).flat_map(|number| chain(number, "a", "middle"));
-    let abroad = (CHAINS..2 * CHAINS).flat_map(|number| chain(number, "b", "large"));
-    let (fleet, keys) = fleet(home.chain(abroad));
+    let remote = (CHAINS..2 * CHAINS).flat_map(|number| chain(number, "b", "large"));
+    let (fleet, keys) = fleet(home.chain(remote));
     let home = keys[..keys.len() / 2].to_vec();
     (fleet, home)
 }
 
-/// Requests of 1,000 that leave their failure domain.
-fn share_abroad(fleet: &Fleet, home: &[EngineKey]) -> u32 {
+/// Number of 1,000 requests that leave their failure domain.
+fn remote_share(fleet: &Fleet, home: &[EngineKey]) -> u32 {
     let firsts = first_engines(fleet, NEED, cx(&[]));
-    let abroad = firsts.iter().filter(|(first, _)| !home.contains(first));
-    abroad.map(|(_, count)| count).sum()
+    let remote = firsts.iter().filter(|(first, _)| !home.contains(first));
+    remote.map(|(_, count)| count).sum()
 }
 
 #[test]
-fn requests_leave_their_failure_domain_only_where_it_lacks_room() {
-    let abroad_at = |used: f64| {
+fn requests_leave_their_failure_domain_only_if_it_lacks_capacity() {
+    let remote_at = |used: f64| {
         let (mut fleet, home) = many_chains();
         for key in &home {
-            let layers = fleet.get(*key).expect("it is known").entry.layers.len();
-            let room = model().kv_tokens(&model().cards["middle"], layers as u32);
-            fleet.begin(&[*key], used * room);
+            let layers = fleet.get(*key).expect("engine exists").entry.layers.len();
+            let capacity = model().kv_tokens(&model().cards["middle"], layers as u32);
+            fleet.begin(&[*key], used * capacity);
         }
-        share_abroad(&fleet, &home)
+        remote_share(&fleet, &home)
     };
-    // For a few requests nobody at home is drawn for some layer.
-    assert!(abroad_at(0.0) <= 20, "{}", abroad_at(0.0));
-    assert!(abroad_at(0.2) <= 20, "{}", abroad_at(0.2));
-    assert!(abroad_at(0.7) > 500, "{}", abroad_at(0.7));
+    // For a few requests the random sample includes no local engine for some layer.
+    assert!(remote_at(0.0) <= 20, "{}", remote_at(0.0));
+    assert!(remote_at(0.2) <= 20, "{}", remote_at(0.2));
+    assert!(remote_at(0.7) > 500, "{}", remote_at(0.7));
 }
 
 #[test]
-fn requests_leave_their_failure_domain_where_it_is_too_slow() {
+fn requests_leave_a_failure_domain_that_is_too_slow() {
     let (mut fleet, home) = many_chains();
     for key in &home {
-        let engine = fleet.get_mut(*key).expect("it is known");
+        let engine = fleet.get_mut(*key).expect("engine exists");
         engine.record_slowdown(12.0, cx(&[]).now);
     }
-    let abroad = share_abroad(&fleet, &home);
-    assert!(abroad > 900, "{abroad}");
+    let remote = remote_share(&fleet, &home);
+    assert!(remote > 900, "{remote}");
 }
 
-/// A chain that may begin on either of two equal engines.
-fn two_beginnings() -> (Fleet, Vec<EngineKey>) {
+/// A chain that may start on either of two equal engines.
+fn two_first_engines() -> (Fleet, Vec<EngineKey>) {
     fleet([
         entry(0, "a", "middle", 0..20),
         entry(1, "a", "middle", 0..20),
@@ -132,15 +132,15 @@
 }
 
 #[test]
-fn the_share_of_an_engine_falls_with_its_room() {
-    let (mut fleet, keys) = two_beginnings();
+fn share_of_an_engine_falls_with_its_free_capacity() {
+    let (mut fleet, keys) = two_first_engines();
     let even = share(&fleet, keys[0]);
     assert!((450..550).contains(&even), "{even}");
-    let room = model().kv_tokens(&model().cards["middle"], 20);
+    let capacity = model().kv_tokens(&model().cards["middle"], 20);
     let mut before = even;
     for (used, least, most) in [(0.3, 350, 490), (0.5, 100, 400), (0.7, 0, 120), (0.9, 0, 5)] {
-        let tokens = fleet.get(keys[0]).expect("it is known").tokens;
-        fleet.begin(&keys[0..1], used * room - tokens);
+        let tokens = fleet.get(keys[0]).expect("engine exists").tokens;
+        fleet.begin(&keys[0..1], used * capacity - tokens);
         let now = share(&fleet, keys[0]);
         assert!(now <= before.min(most), "{now} after {before} at {used}");
         assert!(now >= least, "{now} at {used}");
@@ -149,32 +149,35 @@
 }
 
 #[test]
-fn prompts_that_wait_turn_requests_away_and_show_in_the_expected_first_event() {
-    let (mut fleet, keys) = two_beginnings();
-    let expected = |fleet: &Fleet| choose(fleet, &keys[1..2]).expect("there is a path").first;
+fn waiting_prompts_divert_requests_and_delay_the_expected_first_event() {
+    let (mut fleet, keys) = two_first_engines();
+    let expected = |fleet: &Fleet| choose(fleet, &keys[1..2]).expect("a path exists").first;
     let (idle, even) = (expected(&fleet), share(&fleet, keys[0]));
-    fleet.get_mut(keys[0]).expect("it is known").remote_prefill = 200_000.0;
+    fleet
+        .get_mut(keys[0])
+        .expect("engine exists")
+        .remote_prefill = 200_000.0;
     assert!(expected(&fleet) > idle + Duration::from_millis(200));
     let fewer = share(&fleet, keys[0]);
     assert!(fewer < even / 2, "{fewer} of {even}");
 }
 
 #[test]
-fn prompts_that_wait_for_room_show_in_the_expected_first_event() {
-    let (mut fleet, keys) = two_beginnings();
-    let expected = |fleet: &Fleet| choose(fleet, &keys[1..2]).expect("there is a path").first;
+fn lack_of_kv_capacity_delays_the_expected_first_event() {
+    let (mut fleet, keys) = two_first_engines();
+    let expected = |fleet: &Fleet| choose(fleet, &keys[1..2]).expect("a path exists").first;
     let idle = expected(&fleet);
-    let room = model().kv_tokens(&model().cards["middle"], 20);
-    fleet.begin(&keys[0..1], 1.3 * room);
-    // A third of what is held has to end first; requests run for three seconds.
+    let capacity = model().kv_tokens(&model().cards["middle"], 20);
+    fleet.begin(&keys[0..1], 1.3 * capacity);
+    // A third of the held tokens has to be freed first; requests run for three seconds.
     let waits = expected(&fleet) - idle;
     assert!(waits > Duration::from_millis(700), "{waits:?}");
 }
 
 #[test]
-fn without_an_engine_others_that_hold_its_layers_take_its_place() {
+fn avoided_engine_is_replaced_by_others_with_its_layers() {
     let (fleet, keys) = two_domains();
-    let choice = choose(&fleet, &keys[7..]).expect("there is a path");
+    let choice = choose(&fleet, &keys[7..]).expect("a path exists");
     assert_eq!(choice.path.engines(), &keys[0..4]);
     let mut avoid = keys[7..].to_vec();
     avoid.push(keys[0]);
@@ -183,19 +186,19 @@
 }
 
 #[test]
-fn a_domain_with_a_hole_leaves_its_requests_to_another() {
+fn requests_of_an_incomplete_domain_go_to_another() {
     let (fleet, keys) = two_domains();
-    let choice = choose(&fleet, &[keys[2]]).expect("the other domain is whole");
+    let choice = choose(&fleet, &[keys[2]]).expect("domain b is complete");
     assert_eq!(choice.path.engines(), &keys[7..]);
 }
 
 #[test]
-fn engines_that_leave_are_never_chosen() {
+fn draining_engines_are_never_chosen() {
     let (mut fleet, keys) = two_domains();
     for key in [keys[2], keys[9]] {
         let leaving = Entry {
             draining: true,
-            ..fleet.get(key).expect("it is known").entry.clone()
+            ..fleet.get(key).expect("engine exists").entry.clone()
         };
         fleet.upsert(leaving, EntrySource::Written, Instant::ZERO);
     }
@@ -203,12 +206,12 @@
 }
 
 #[test]
-fn dead_engines_are_never_chosen_and_live_again_once_they_are_back() {
+fn dead_engines_are_chosen_only_after_they_recover() {
     let (mut fleet, keys) = two_domains();
     for key in [keys[2], keys[9]] {
         fleet
             .get_mut(key)
-            .expect("it is known")
+            .expect("engine exists")
             .health
             .mark_dead(Instant::ZERO);
     }
@@ -216,33 +219,42 @@
     let back = Instant::from_elapsed(Duration::from_millis(100));
     fleet
         .get_mut(keys[2])
-        .expect("it is known")
+        .expect("engine exists")
         .health
         .mark_alive(back);
     assert_eq!(
-        choose(&fleet, &[]).expect("a is whole").path.engines(),
+        choose(&fleet, &[])
+            .expect("domain a is complete")
+            .path
+            .engines(),
         &keys[0..4]
     );
 }
 
 #[test]
-fn engines_held_off_are_the_last_choice() {
+fn cooling_down_engines_are_the_last_choice() {
     let (mut fleet, keys) = two_domains();
     fleet.record_failure(keys[2], Instant::from_elapsed(Duration::from_millis(900)));
     assert_eq!(
-        choose(&fleet, &[]).expect("b is whole").path.engines(),
+        choose(&fleet, &[])
+            .expect("domain b is complete")
+            .path
+            .engines(),
         &keys[7..]
     );
-    let choice = choose(&fleet, &keys[7..]).expect("nothing else is left");
+    let choice = choose(&fleet, &keys[7..]).expect("no other chain is left");
     assert!(choice.path.engines().contains(&keys[2]));
 }
 
 #[test]
-fn a_chain_whose_kv_is_taken_gets_no_more() {
+fn chain_without_free_kv_gets_no_requests() {
     let (mut fleet, keys) = two_domains();
     fleet.begin(&keys[1..2], 96_000.0);
     assert_eq!(
-        choose(&fleet, &[]).expect("b is whole").path.engines(),
+        choose(&fleet, &[])
+            .expect("domain b is complete")
+            .path
+            .engines(),
         &keys[7..]
     );
     fleet.begin(&keys[8..9], 96_000.0);
@@ -250,28 +262,28 @@
 }
 
 #[test]
-fn a_first_engine_without_a_place_gets_no_more() {
+fn first_engine_without_a_free_slot_gets_no_requests() {
     let (mut fleet, keys) = two_domains();
     for _ in 0..190 {
         fleet.begin(&keys[0..1], 1.0);
     }
-    let choice = choose(&fleet, &keys[7..]).expect("the small cards begin");
+    let choice = choose(&fleet, &keys[7..]).expect("a small card is first");
     assert_eq!(choice.path.first().engine, keys[4]);
 }
 
 #[test]
-fn a_request_larger_than_an_engine_is_not_sent_there() {
+fn request_larger_than_any_engine_has_no_path() {
     let (fleet, _) = two_domains();
     let huge = Requirements {
         prompt: 60_000.0,
         answer: 1.0,
-        objectives: AIM,
+        objectives: OBJECTIVES,
     };
     assert!(path(&fleet, SERVICE, &model(), huge, &cx(&[])).is_none());
 }
 
 #[test]
-fn where_no_domain_is_whole_a_path_crosses_them() {
+fn path_crosses_domains_if_none_is_complete() {
     let (fleet, keys) = fleet([
         entry(0, "a", "large", 0..40),
         entry(1, "b", "middle", 38..55),
@@ -280,15 +292,16 @@
     let small = Requirements {
         prompt: 100.0,
         answer: 10.0,
-        objectives: AIM,
+        objectives: OBJECTIVES,
     };
-    let choice = path(&fleet, SERVICE, &model(), small, &cx(&[])).expect("together they are whole");
+    let choice =
+        path(&fleet, SERVICE, &model(), small, &cx(&[])).expect("together they are complete");
     assert_eq!(choice.path.engines(), keys);
     assert_eq!(choice.path.parts()[1].layers, 40..55);
 }
 
 #[test]
-fn a_plain_request_leaves_its_failure_domain_only_for_an_instance_with_less_work() {
+fn plain_request_leaves_its_failure_domain_only_for_a_less_loaded_instance() {
     let domains = ["b", "a", "a", "a", "a", "b"];
     let entries = domains.into_iter().zip(0..);
     let (mut fleet, keys) =
@@ -299,7 +312,7 @@
     };
     let home = BTreeSet::from_iter(keys[1..5].iter().copied());
     assert_eq!(chosen(&fleet), home);
-    // With fewer idle instances at home those elsewhere are used too.
+    // With fewer idle local instances, those of other domains are used too.
     fleet.begin(&keys[1..2], 0.0);
     let idle = BTreeSet::from_iter(keys.iter().copied().filter(|key| *key != keys[1]));
     assert_eq!(chosen(&fleet), idle);
@@ -308,7 +321,7 @@
 }
 
 #[test]
-fn a_plain_request_goes_to_the_instance_with_the_least_work() {
+fn plain_request_goes_to_the_least_loaded_instance() {
     let plain = |number| Entry {
         slots: 6,
         card: None,
@@ -318,7 +331,7 @@
     fleet.begin(&keys[0..1], 0.0);
     fleet
         .get_mut(keys[1])
-        .expect("it is known")
+        .expect("engine exists")
         .reported_remote_running = 3.0;
     assert_eq!(instance(&fleet, SERVICE, 10, &cx(&[])), Some(keys[2]));
     assert_eq!(
@@ -329,8 +342,8 @@
 }
 
 #[test]
-fn boxes_that_believe_the_same_spread_their_requests_over_chains_that_differ_little() {
-    // Equal chains, of which the one abroad must be a tenth faster to be chosen.
+fn boxes_with_equal_views_spread_requests_over_similar_chains() {
+    // Equal chains; a remote one is chosen only if it is a tenth faster.
     let (fleet, keys) = fleet([
         entry(0, "a", "middle", 0..20),
         entry(1, "a", "middle", 20..40),
@@ -346,7 +359,7 @@
 }
 
 #[test]
-fn chance_does_not_change_what_is_expected_of_a_path() {
+fn random_draw_does_not_change_the_expected_times_of_a_path() {
     let (fleet, keys) = two_domains();
     let expected: Vec<(Duration, Duration)> = (0..50)
         .filter_map(|draw| {
@@ -363,7 +376,7 @@
 }
 
 #[test]
-fn an_engine_is_filled_with_what_requests_hold_on_average_and_not_at_their_ends() {
+fn engine_is_filled_by_average_instead_of_final_kv_of_requests() {
     let model = model();
     let (mut fleet, keys) = fleet([
         entry(0, "a", "large", 0..30),
@@ -371,49 +384,49 @@
         entry(2, "a", "middle", 48..66),
         entry(3, "a", "middle", 66..80),
     ]);
-    let room = 1.7 * model.kv_tokens(&model.cards["middle"], 18);
+    let capacity = 1.7 * model.kv_tokens(&model.cards["middle"], 18);
     let each = NEED.held();
     assert_eq!(each, 900.0);
-    let fit = (room / each).floor() as u32;
+    let fit = (capacity / each).floor() as u32;
     for _ in 1..fit {
         fleet.begin(&keys, each);
     }
     assert!(choose(&fleet, &[]).is_some(), "one more fits");
     fleet.begin(&keys, each);
-    assert!(choose(&fleet, &[]).is_none(), "it is full");
+    assert!(choose(&fleet, &[]).is_none(), "the engine is full");
 }
 
 #[test]
-fn a_shortage_tells_for_each_domain_what_it_lacks() {
+fn missing_path_reports_the_reason_per_domain() {
     let (mut fleet, keys) = two_domains();
-    let told = |fleet: &Fleet| no_path_reasons(fleet, SERVICE, &model(), NEED, &cx(&[]));
-    assert_eq!(told(&fleet), NoPathReasons::default());
+    let reasons = |fleet: &Fleet| no_path_reasons(fleet, SERVICE, &model(), NEED, &cx(&[]));
+    assert_eq!(reasons(&fleet), NoPathReasons::default());
     fleet.begin(&keys[1..2], 96_000.0);
     let full = NoPathReasons {
         full: 1,
         ..NoPathReasons::default()
     };
-    assert_eq!(told(&fleet), full);
+    assert_eq!(reasons(&fleet), full);
     let now = Instant::from_elapsed(Duration::from_secs(1));
-    let row = fleet.get_mut(keys[9]).expect("it is known");
+    let row = fleet.get_mut(keys[9]).expect("engine exists");
     row.health.mark_dead(now);
     assert_eq!(
-        told(&fleet),
+        reasons(&fleet),
         NoPathReasons {
             unusable: 1,
             ..full
         }
     );
     fleet.remove("e9", Instant::ZERO);
-    assert_eq!(told(&fleet), NoPathReasons { gap: 1, ..full });
+    assert_eq!(reasons(&fleet), NoPathReasons { gap: 1, ..full });
 }
 
 #[test]
-fn an_engine_that_has_just_refused_is_not_even_the_last_choice() {
+fn engine_that_just_refused_is_not_a_last_resort() {
     let (mut fleet, keys) = two_domains();
     let refused_at = Instant::from_elapsed(Duration::from_millis(950));
     for key in [keys[2], keys[9]] {
-        let engine = fleet.get_mut(key).expect("it is known");
+        let engine = fleet.get_mut(key).expect("engine exists");
         engine.health.refused(refused_at);
     }
     assert!(choose(&fleet, &[]).is_none());
@@ -424,11 +437,11 @@
     assert!(path(&fleet, SERVICE, &model(), NEED, &later).is_some());
 }
 
-/// Figures before: with 64 boxes that had all just started, 250 of some 500 sends in two seconds were refused, since
-/// all filled the same chain.
+/// Guards against boxes that start together and all fill the same chain: with 64 of them, 250 of some 500 sends in
+/// two seconds were refused.
 #[test]
-fn a_box_that_is_told_of_no_others_yet_takes_them_to_do_as_it_does() {
-    let (mut fleet, keys) = two_beginnings();
+fn box_without_reports_assumes_others_act_like_itself() {
+    let (mut fleet, keys) = two_first_engines();
     fleet.begin(&keys[0..1], NEED.held());
     let share = |load_scale: f64| {
         let cx = SelectionContext {
@@ -442,15 +455,15 @@
 }
 
 #[test]
-fn figures_beyond_reason_neither_panic_nor_attract() {
-    let (mut fleet, keys) = two_beginnings();
-    let engine = fleet.get_mut(keys[0]).expect("it is known");
+fn extreme_loads_neither_panic_nor_attract_requests() {
+    let (mut fleet, keys) = two_first_engines();
+    let engine = fleet.get_mut(keys[0]).expect("engine exists");
     engine.remote_running = 100_000.0;
     engine.record_slowdown(f64::INFINITY, Instant::from_elapsed(Duration::from_secs(1)));
     engine.record_slowdown(f64::NAN, Instant::from_elapsed(Duration::from_secs(1)));
     assert_eq!(share(&fleet, keys[0]), 0);
-    // A later stage may run more requests than a first one has places.
-    let engine = fleet.get_mut(keys[2]).expect("it is known");
+    // A later stage may run more requests than a first stage has slots.
+    let engine = fleet.get_mut(keys[2]).expect("engine exists");
     engine.remote_running = 100_000.0;
     engine.remote_prefill = 1e8;
     assert!(choose(&fleet, &[]).is_some());
@@ -477,8 +490,8 @@
     assert!(path(&fleet, SERVICE, &model(), nothing, &cx(&[])).is_some());
 }
 
-/// Requests of 1,000 whose first engine is the roomy one of two that are equally fast.
-fn at_the_roomy(boxes: u32) -> u32 {
+/// Number of 1,000 requests that start on the engine with more KV capacity of two that are equally fast.
+fn share_of_the_larger(boxes: u32) -> u32 {
     let (fleet, keys) = fleet([
         entry(0, "a", "large", 0..34),
         entry(1, "a", "large", 0..40),
@@ -496,15 +509,20 @@
     share_of(&fleet, keys[0], need, cx)
 }
 
-/// With 295 boxes a fifth of the sends were refused, 1,056 of 5,034 by one engine of the cheapest chain.
+/// Guards against many boxes that all choose the cheapest chain: with 295 boxes a fifth of the sends were refused,
+/// 1,056 of 5,034 by one engine of that chain.
 #[test]
-fn the_more_boxes_there_are_the_less_a_difference_of_room_draws_them_to_the_same_chain() {
-    let (few, many, most) = (at_the_roomy(64), at_the_roomy(300), at_the_roomy(2500));
+fn capacity_differences_attract_fewer_requests_with_more_boxes() {
+    let (few, many, most) = (
+        share_of_the_larger(64),
+        share_of_the_larger(300),
+        share_of_the_larger(2500),
+    );
     assert!(few > many && many >= most, "{few} {many} {most}");
     assert!(most > 200, "{most}");
 }
 
-/// One chain, whose engines have `running` requests of others.
+/// One chain whose engines run `running` requests of other boxes.
 fn loaded_chain(running: f64) -> (Fleet, Vec<EngineKey>) {
     let (mut fleet, keys) = fleet([
         entry(0, "a", "large", 0..30),
@@ -513,7 +531,7 @@
         entry(3, "a", "middle", 66..80),
     ]);
     for key in &keys {
-        let engine = fleet.get_mut(*key).expect("it is known");
+        let engine = fleet.get_mut(*key).expect("engine exists");
         engine.remote_running = running;
         engine.remote_tokens = running * NEED.held();
     }
@@ -521,37 +539,38 @@
 }
 
 fn expected_first_ms(fleet: &Fleet) -> f64 {
-    let choice = choose(fleet, &[]).expect("there is a path");
+    let choice = choose(fleet, &[]).expect("a path exists");
     choice.first.as_secs_f64() * 1000.0
 }
 
-/// First events of requests that waited at their first engine for a second were expected within a tenth of that.
+/// Guards against ignoring the queue of the first engine: requests that waited there for a second were expected to
+/// have their first event within a tenth of that.
 #[test]
-fn requests_that_wait_at_the_first_engine_are_expected_to_delay_the_first_event() {
+fn queue_of_the_first_engine_delays_the_expected_first_event() {
     let (mut fleet, keys) = loaded_chain(60.0);
     let without = expected_first_ms(&fleet);
-    let first = fleet.get_mut(keys[0]).expect("it is known");
+    let first = fleet.get_mut(keys[0]).expect("engine exists");
     first.queues.record(20, cx(&[]).now);
-    // 40 run for 3 s each, so 20 of them end in 1.5 s.
+    // 40 run for 3 s each, so 20 of them end within 1.5 s.
     let with = expected_first_ms(&fleet);
     assert!((1_400.0..1_600.0).contains(&(with - without)), "{with}");
 }
 
 #[test]
-fn a_queue_that_was_stated_a_second_ago_delays_nothing() {
+fn outdated_queue_length_delays_nothing() {
     let (mut fleet, keys) = loaded_chain(60.0);
     let without = expected_first_ms(&fleet);
-    let first = fleet.get_mut(keys[0]).expect("it is known");
+    let first = fleet.get_mut(keys[0]).expect("engine exists");
     first.queues.record(20, Instant::ZERO);
     assert_eq!(expected_first_ms(&fleet), without);
 }
 
-/// Later engines refuse what they have no room for, so a request that is accepted has not waited for them.
+/// Later engines refuse requests without capacity for them, so an accepted request has not waited there.
 #[test]
-fn room_that_later_engines_lack_is_no_part_of_the_expected_time() {
+fn lack_of_capacity_on_later_engines_does_not_delay_the_expected_first_event() {
     let (mut fleet, keys) = loaded_chain(20.0);
     let without = expected_first_ms(&fleet);
-    let last = fleet.get_mut(keys[3]).expect("it is known");
+    let last = fleet.get_mut(keys[3]).expect("engine exists");
     last.remote_tokens *= 1.3 * 18_700.0 / last.remote_tokens;
     let with = expected_first_ms(&fleet);
     assert!((with - without).abs() < 1.0, "{without}, {with}");
--- a/reachtally-core/tests/core/forward/setup.rs
+++ b/reachtally-core/tests/core/forward/setup.rs
@@ -1,4 +1,4 @@
-//! A model over three kinds of card and fleets of them.
+//! A model with three kinds of cards, and fleets of them.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -11,23 +11,23 @@
     self, LatencyObjectives, Limits, Requirements, SelectionContext,
 };
 
-/// The service of all engines here.
+/// The service of all engines in these tests.
 pub const SERVICE: &str = "pool";
 
-/// What answers should keep to.
-pub const AIM: LatencyObjectives = LatencyObjectives {
+/// Latency objectives of answers.
+pub const OBJECTIVES: LatencyObjectives = LatencyObjectives {
     first_ms: Some(500.0),
     gap_ms: Some(200.0),
 };
 
-/// A usual request.
+/// Requirements of a typical request.
 pub const NEED: Requirements = Requirements {
     prompt: 800.0,
     answer: 200.0,
-    objectives: AIM,
+    objectives: OBJECTIVES,
 };
 
-/// A box of domain `a` that knows all others.
+/// The view of a box of domain `a` that knows all other boxes.
 pub fn cx(avoid: &[EngineKey]) -> SelectionContext<'_> {
     SelectionContext {
         now: Instant::from_elapsed(Duration::from_secs(1)),
@@ -41,7 +41,7 @@
     }
 }
 
-/// A model of 80 layers on a large, a middle and a small card.
+/// A model of 80 layers for a large, a middle and a small card.
 pub fn model() -> LayerModel {
     let card = |memory_mb, step_factor, read_factor| Card {
         memory_mb,
@@ -85,7 +85,7 @@
     }
 }
 
-/// The entry of a run of the engine `e0` that started at `born`.
+/// The entry of a run of engine `e0` that started at `born`.
 pub fn run_entry(born: u64) -> Entry {
     Entry {
         born: Some(StartTime(born)),
@@ -93,7 +93,7 @@
     }
 }
 
-/// Empty engines of one domain: how many of each card.
+/// Hosts without layers in one domain, with the number of engines per card.
 pub fn hosts(domain: &str, cards: &[(&str, u16)]) -> Vec<Host> {
     let model = model();
     let mut fleet = Fleet::default();
@@ -120,7 +120,7 @@
     hosts
 }
 
-/// A fleet with these engines, and their rows in order.
+/// A fleet with these engines, and their keys in order.
 pub fn fleet(entries: impl IntoIterator<Item = Entry>) -> (Fleet, Vec<EngineKey>) {
     let mut fleet = Fleet::default();
     let keys = entries
@@ -130,7 +130,7 @@
     (fleet, keys)
 }
 
-/// The instance that a request for a plain service goes to.
+/// The instance selected for a request of a plain service.
 pub fn instance(
     fleet: &Fleet,
     service: &str,
--- a/reachtally-core/tests/core/forward/shares/mod.rs
+++ b/reachtally-core/tests/core/forward/shares/mod.rs
@@ -1,4 +1,4 @@
-//! Fair shares of client accounts: their computation, and boxes and collectors on a virtual clock.
+//! Tests of fair shares of client accounts: their computation, and boxes and collectors on a virtual clock.
 
 use std::net::{IpAddr, Ipv4Addr};
 use std::time::Duration;
@@ -53,7 +53,7 @@
     }
 }
 
-/// The shares that follow from one box with these rates.
+/// The shares computed from one box with these rates.
 fn shared(each: &[f64], admitted: f64) -> ServiceShare {
     let mut aggregator = Aggregator::default();
     aggregator.update(rates(1, 1, each, admitted), ip(1), at(0));
@@ -71,7 +71,7 @@
     #![proptest_config(ProptestConfig { rng_seed: RngSeed::Fixed(7), failure_persistence: None, ..ProptestConfig::default() })]
 
     #[test]
-    fn what_is_allowed_is_what_is_admitted(each in prop::collection::vec(0.0..500.0f64, 1..200), part in 0.02..0.999f64) {
+    fn shares_add_up_to_the_admitted_rate(each in prop::collection::vec(0.0..500.0f64, 1..200), part in 0.02..0.999f64) {
         let groups: Vec<Group> = each.iter().map(|rate| Group { rate: *rate, count: 1.0 }).collect();
         let offered: f64 = each.iter().sum();
         prop_assume!(offered > 0.0);
@@ -81,47 +81,47 @@
     }
 
     #[test]
-    fn an_account_below_the_share_is_never_beyond_and_equal_ones_get_equal_parts(
+    fn account_below_the_share_is_never_limited_and_equal_accounts_get_equal_fractions(
         mut each in prop::collection::vec(0.1..500.0f64, 2..64), part in 0.0..1.2f64, twin in 0usize..64, draw: u64,
     ) {
         each.push(each[twin % each.len()]);
         let offered: f64 = each.iter().sum();
-        let told = shared(&each, offered * part);
+        let computed = shared(&each, offered * part);
         let last = each.len() as u32 - 1;
-        if told.accounts.len() < MAX_ACCOUNTS_PER_ANSWER {
-            prop_assert_eq!(fraction(&told, last), fraction(&told, (twin % (each.len() - 1)) as u32));
+        if computed.accounts.len() < MAX_ACCOUNTS_PER_ANSWER {
+            prop_assert_eq!(fraction(&computed, last), fraction(&computed, (twin % (each.len() - 1)) as u32));
         }
-        prop_assert!(told.accounts.iter().all(|each| (0.0..=1.0).contains(&each.fraction)));
-        let share = told.share.map_or(f64::MAX, DemandRate::per_second);
-        let mut believed = EnforcedShares::default();
-        believed.update(AccountShares { number: 1, services: vec![told] }, at(0));
+        prop_assert!(computed.accounts.iter().all(|each| (0.0..=1.0).contains(&each.fraction)));
+        let share = computed.share.map_or(f64::MAX, DemandRate::per_second);
+        let mut enforced = EnforcedShares::default();
+        enforced.update(AccountShares { number: 1, services: vec![computed] }, at(0));
         for (number, rate) in (0..).zip(&each) {
-            let standing = believed.standing(SERVICE, account(number), draw, at(1));
+            let standing = enforced.standing(SERVICE, account(number), draw, at(1));
             prop_assert!(*rate > share || standing == Standing::Within);
         }
     }
 }
 
 #[test]
-fn a_large_account_among_many_small_ones_is_not_starved() {
+fn large_account_among_many_small_ones_is_not_starved() {
     let mut each = vec![5.0; 10];
     each.push(50.0);
-    let told = shared(&each, 50.0);
-    let served = fraction(&told, 10).expect("it is above the share");
+    let computed = shared(&each, 50.0);
+    let served = fraction(&computed, 10).expect("it is above the share");
     assert!(served >= 0.5 * MIN_SERVED_FRACTION, "{served}");
 }
 
-/// The answer lists a bounded number of accounts; those that it left out would have kept everything.
+/// Guards against favoring accounts that an answer leaves out, since the number of listed accounts is bounded.
 #[test]
-fn of_more_equal_accounts_than_are_listed_none_is_limited() {
+fn equal_accounts_beyond_the_listed_number_are_not_limited() {
     let even = shared(&[100.0; MAX_ACCOUNTS_PER_ANSWER + 8], 2_000.0);
     assert_eq!(even.accounts, []);
     let mut each = [100.0; MAX_ACCOUNTS_PER_ANSWER + 8];
     each[3] = 750.0;
-    let told = shared(&each, 2_000.0);
-    assert_eq!(told.accounts.len(), 1);
-    assert!(fraction(&told, 3).is_some_and(|fraction| fraction < 0.2));
-    // A hundred more that are known only in sum.
+    let computed = shared(&each, 2_000.0);
+    assert_eq!(computed.accounts.len(), 1);
+    assert!(fraction(&computed, 3).is_some_and(|fraction| fraction < 0.2));
+    // A hundred further accounts that are known only by their sum.
     let mut in_sum = rates(1, 1, &[100.0; 4], 2_000.0);
     in_sum.services[0].offered = DemandRate::new(9_400.0);
     in_sum.services[0].count = 104;
@@ -132,14 +132,14 @@
 }
 
 #[test]
-fn nothing_is_shared_where_one_account_is_alone_or_nothing_is_admitted() {
+fn no_shares_for_a_single_account_or_without_admissions() {
     assert_eq!(shared(&[100.0], 50.0).accounts, []);
     assert_eq!(shared(&[100.0, 10.0], 0.0).accounts, []);
     assert_eq!(shared(&[100.0, 10.0], 200.0).share, None);
 }
 
 #[test]
-fn a_box_that_starts_again_counts_once_and_late_messages_change_nothing() {
+fn restarted_box_counts_once_and_late_messages_are_ignored() {
     let mut aggregator = Aggregator::default();
     aggregator.update(rates(1, 7, &[10.0, 90.0], 50.0), ip(1), at(0));
     assert!(!aggregator.update(rates(1, 6, &[500.0, 90.0], 50.0), ip(1), at(10)));
@@ -151,57 +151,66 @@
     assert_eq!(aggregator.own_rates(), []);
 }
 
-/// A corrupt report must neither limit the accounts of all others nor last.
+/// Guards against a corrupt report that limits the accounts of all others, or that persists.
 #[test]
-fn corrupt_rates_limit_nobody_who_is_below_the_share() {
-    for wrong in [f64::NAN, -5.0, f64::INFINITY, f64::MAX] {
+fn corrupt_rates_do_not_limit_accounts_below_the_share() {
+    for corrupt in [f64::NAN, -5.0, f64::INFINITY, f64::MAX] {
         let mut aggregator = Aggregator::default();
         aggregator.update(rates(1, 1, &[20.0, 20.0, 90.0], 80.0), ip(1), at(0));
-        aggregator.update(rates(2, 1, &[1.0, 1.0, 1.0, wrong], wrong), ip(2), at(0));
+        aggregator.update(
+            rates(2, 1, &[1.0, 1.0, 1.0, corrupt], corrupt),
+            ip(2),
+            at(0),
+        );
         aggregator.sum_up_now(at(0));
-        let told = &aggregator.shares()[0];
-        assert_eq!((fraction(told, 0), fraction(told, 1)), (None, None));
-        assert!(told.accounts.iter().all(|each| each.fraction.is_finite()));
+        let computed = &aggregator.shares()[0];
+        assert_eq!((fraction(computed, 0), fraction(computed, 1)), (None, None));
+        assert!(
+            computed
+                .accounts
+                .iter()
+                .all(|each| each.fraction.is_finite())
+        );
         aggregator.update(rates(1, 2, &[20.0, 20.0, 90.0], 80.0), ip(1), at(1_000));
         aggregator.sum_up_now(at(1_600));
-        assert!(fraction(&aggregator.shares()[0], 2).is_some(), "{wrong}");
+        assert!(fraction(&aggregator.shares()[0], 2).is_some(), "{corrupt}");
     }
 }
 
-/// A box that was suspended or lost its collector must not go on limiting an account.
+/// Guards against limiting an account indefinitely on a box that was suspended or lost its collector.
 #[test]
-fn shares_expire_and_a_late_answer_changes_nothing() {
-    let told = shared(&[10.0, 300.0], 50.0);
+fn shares_expire_and_late_answers_are_ignored() {
+    let computed = shared(&[10.0, 300.0], 50.0);
     let none = ServiceShare {
         accounts: Vec::new(),
-        ..told.clone()
+        ..computed.clone()
     };
     let answer = |number, share: &ServiceShare| AccountShares {
         number,
         services: vec![share.clone()],
     };
-    let mut believed = EnforcedShares::default();
-    believed.update(answer(5, &told), at(0));
-    believed.update(answer(4, &none), at(100));
-    assert_eq!(believed.accounts_above_share(at(1_499)), 1);
-    let beyond = |believed: &EnforcedShares, ms| {
+    let mut enforced = EnforcedShares::default();
+    enforced.update(answer(5, &computed), at(0));
+    enforced.update(answer(4, &none), at(100));
+    assert_eq!(enforced.accounts_above_share(at(1_499)), 1);
+    let beyond = |enforced: &EnforcedShares, ms| {
         let draws = (0..100).map(|draw| u64::wrapping_mul(draw, 0x1234_5678_9ABC_DEF1));
-        let mut standings = draws.map(|draw| believed.standing(SERVICE, account(1), draw, at(ms)));
+        let mut standings = draws.map(|draw| enforced.standing(SERVICE, account(1), draw, at(ms)));
         standings.any(|each| each == Standing::Beyond)
     };
-    assert!(beyond(&believed, 1_499));
-    assert!(!beyond(&believed, 1_500));
-    believed.update(answer(6, &none), at(1_000));
-    assert!(!beyond(&believed, 1_100));
+    assert!(beyond(&enforced, 1_499));
+    assert!(!beyond(&enforced, 1_500));
+    enforced.update(answer(6, &none), at(1_000));
+    assert!(!beyond(&enforced, 1_100));
 }
 
 #[test]
-fn a_crossing_is_told_once_each_way() {
+fn crossing_the_share_is_reported_once_per_direction() {
     let mut aggregator = Aggregator::default();
     let mut crossings = Vec::new();
     for number in 1..=60 {
         let now = at(number * 200);
-        // Varies around the share, as rates do.
+        // The rate varies around the share, as real rates do.
         let flood = if number < 30 && number % 3 > 0 {
             90.0
         } else {
@@ -211,17 +220,17 @@
         crossings.extend(aggregator.update_totals(now));
     }
     let beyond = |crossing| matches!(crossing, ShareTransition::Beyond { .. });
-    let told = crossings
+    let computed = crossings
         .iter()
         .map(|each| (each.account, beyond(each.crossing)));
     assert!(
-        told.eq([(account(2), true), (account(2), false)]),
+        computed.eq([(account(2), true), (account(2), false)]),
         "{crossings:?}"
     );
 }
 
 #[test]
-fn the_largest_of_thousands_of_accounts_are_kept() {
+fn largest_of_thousands_of_accounts_are_kept() {
     let mut usage = Usage::default();
     let service = SERVICE.into();
     for step in 0..20_000 {
@@ -230,18 +239,18 @@
         usage.count_offered(&service, account(step as u32 % 5), now);
     }
     usage.note_contended(&service, at(2_000));
-    let told = usage.rates(|_| false, at(2_000)).remove(0);
-    assert_eq!(told.accounts.len(), MAX_ACCOUNTS_PER_BOX);
-    let largest: Vec<u32> = told.accounts[..5]
+    let computed = usage.rates(|_| false, at(2_000)).remove(0);
+    assert_eq!(computed.accounts.len(), MAX_ACCOUNTS_PER_BOX);
+    let largest: Vec<u32> = computed.accounts[..5]
         .iter()
         .map(|each| each.account.0)
         .collect();
     assert!(largest.iter().all(|number| *number < 5), "{largest:?}");
-    assert!(told.count <= 4_096);
+    assert!(computed.count <= 4_096);
 }
 
 #[test]
-fn without_contention_there_is_nothing_to_report() {
+fn uncontended_service_reports_no_rates() {
     let mut usage = Usage::default();
     let service = SERVICE.into();
     usage.count_offered(&service, account(1), at(0));
