--- a/reachtally-core/tests/core/forward/shares/play.rs
+++ b/reachtally-core/tests/core/forward/shares/play.rs
@@ -1,4 +1,4 @@
-//! Boxes in three failure domains with callers of several accounts, before a capacity that they all share.
+//! Simulates boxes in three failure domains with callers of several accounts and a capacity that they all share.
 
 use std::collections::BTreeMap;
 
@@ -8,26 +8,26 @@
 use super::*;
 
 const DOMAINS: usize = 3;
-/// Requests a second that the capacity suffices for.
+/// Shared capacity in requests per second.
 const CAPACITY: f64 = 440.0;
-/// Requests a second of all accounts together without a flood.
-const USUAL: f64 = 400.0;
-/// Factor of a flood.
-const FLOOD: f64 = 7.5;
+/// Requests per second of all accounts together without a flood.
+const USUAL_RATE: f64 = 400.0;
+/// Factor by which a flooding account exceeds its usual rate.
+const FLOOD_FACTOR: f64 = 7.5;
 const FLOOD_MS: u64 = 3_000;
 const REPORT_MS: u64 = 200;
 const SUM_MS: u64 = 50;
-/// Tokens of the capacity that only requests within their share may take.
-const KEPT: f64 = 20.0;
+/// Tokens reserved for requests within their share.
+const RESERVED: f64 = 20.0;
 
 #[derive(Default)]
 struct BoxState {
     usage: Usage,
-    believed: EnforcedShares,
+    enforced: EnforcedShares,
     number: u64,
 }
 
-/// What became of an account's requests.
+/// Counted requests of an account.
 #[derive(Default, Clone, Copy)]
 struct Counts {
     offered: f64,
@@ -35,11 +35,11 @@
     beyond: f64,
 }
 
-struct Play {
+struct Simulation {
     rng: ChaCha8Rng,
     boxes: Vec<BoxState>,
     collectors: Vec<Aggregator>,
-    /// Whether a domain's collector and its links to others work.
+    /// Whether a domain has lost its collector, or is cut off from the collectors of other domains.
     is_lost: [bool; DOMAINS],
     is_cut: [bool; DOMAINS],
     accounts: u32,
@@ -48,36 +48,36 @@
     tokens: f64,
     now: u64,
     number: u64,
-    /// By account; requests at the boxes of domain 0 also count in `home`.
+    /// Counts by account; `home` counts only requests at the boxes of domain 0.
     counts: BTreeMap<u32, Counts>,
     home: BTreeMap<u32, Counts>,
-    /// When each box was first told of an account above its share, in ms.
-    told: Vec<Option<u64>>,
+    /// Time in ms at which each box first received an account above its share.
+    first_received: Vec<Option<u64>>,
 }
 
-impl Play {
+impl Simulation {
     fn new(boxes: usize, accounts: u32) -> Self {
-        Play {
+        Simulation {
             rng: ChaCha8Rng::seed_from_u64(5),
             boxes: (0..boxes * DOMAINS).map(|_| BoxState::default()).collect(),
             collectors: (0..DOMAINS).map(|_| Aggregator::default()).collect(),
             is_lost: [false; DOMAINS],
             is_cut: [false; DOMAINS],
             accounts,
-            flood: FLOOD,
+            flood: FLOOD_FACTOR,
             tokens: 0.0,
             now: 0,
             number: 0,
             counts: BTreeMap::new(),
             home: BTreeMap::new(),
-            told: vec![None; boxes * DOMAINS],
+            first_received: vec![None; boxes * DOMAINS],
         }
     }
 
     fn run_until(&mut self, end: u64) {
         while self.now < end {
             self.now += 1;
-            self.tokens = (self.tokens + CAPACITY / 1e3).min(2.0 * KEPT);
+            self.tokens = (self.tokens + CAPACITY / 1e3).min(2.0 * RESERVED);
             self.arrive();
             if self.now.is_multiple_of(SUM_MS) {
                 for collector in &mut self.collectors {
@@ -95,7 +95,8 @@
         }
     }
 
-    /// Counts anew, until `end`; returns the share of the requests of all accounts but the first that is admitted.
+    /// Restarts counting and runs until `end`; returns the admitted fraction of the requests of all accounts but the
+    /// first.
     fn others_served(&mut self, end: u64) -> f64 {
         self.counts.clear();
         self.home.clear();
@@ -108,16 +109,16 @@
     }
 
     fn arrive(&mut self) {
-        let each = USUAL / f64::from(self.accounts);
+        let each = USUAL_RATE / f64::from(self.accounts);
         let flood = if self.now > FLOOD_MS {
             each * (self.flood - 1.0)
         } else {
             0.0
         };
-        let mut due = (USUAL + flood) / 1e3;
+        let mut due = (USUAL_RATE + flood) / 1e3;
         while due > 0.0 {
             if self.rng.random::<f64>() < due {
-                let is_flood = self.rng.random::<f64>() * (USUAL + flood) < flood;
+                let is_flood = self.rng.random::<f64>() * (USUAL_RATE + flood) < flood;
                 let number = if is_flood {
                     0
                 } else {
@@ -138,10 +139,10 @@
         let entrance = &mut self.boxes[place];
         entrance.usage.count_offered(&service, account(number), now);
         let standing = entrance
-            .believed
+            .enforced
             .standing(SERVICE, account(number), draw, now);
         let is_beyond = standing == Standing::Beyond;
-        let is_admitted = self.tokens >= if is_beyond { KEPT } else { 1.0 };
+        let is_admitted = self.tokens >= if is_beyond { RESERVED } else { 1.0 };
         match is_admitted {
             true => {
                 self.tokens -= 1.0;
@@ -160,7 +161,7 @@
         }
     }
 
-    /// Whether a datagram arrives: 2% are lost.
+    /// Whether a datagram arrives; 2% are lost.
     fn arrives(&mut self) -> bool {
         self.rng.random::<f64>() >= 0.02
     }
@@ -170,10 +171,10 @@
         let entrance = &mut self.boxes[place];
         entrance.number += 1;
         let number = entrance.number;
-        let believed = &entrance.believed;
+        let enforced = &entrance.enforced;
         let services = entrance
             .usage
-            .rates(|service| believed.is_contended(service, now), now);
+            .rates(|service| enforced.is_contended(service, now), now);
         if self.is_lost[domain] {
             return;
         }
@@ -189,9 +190,9 @@
         if self.arrives() {
             let services = self.collectors[domain].shares().to_vec();
             let shares = AccountShares { number, services };
-            self.boxes[place].believed.update(shares, now);
-            if self.boxes[place].believed.accounts_above_share(now) > 0 {
-                self.told[place].get_or_insert(self.now);
+            self.boxes[place].enforced.update(shares, now);
+            if self.boxes[place].enforced.accounts_above_share(now) > 0 {
+                self.first_received[place].get_or_insert(self.now);
             }
         }
     }
@@ -206,10 +207,10 @@
                 services: self.collectors[from].own_rates().to_vec(),
             };
             for to in (0..DOMAINS).filter(|to| *to != from) {
-                let is_apart = [from, to]
+                let is_separated = [from, to]
                     .iter()
                     .any(|each| self.is_lost[*each] || self.is_cut[*each]);
-                if !is_apart && !rates.services.is_empty() && self.arrives() {
+                if !is_separated && !rates.services.is_empty() && self.arrives() {
                     self.collectors[to].update(
                         rates.clone(),
                         ip(60_000 + from as u16),
@@ -225,29 +226,32 @@
         counts.beyond / counts.offered.max(1.0)
     }
 
-    /// Parts of the requests beyond the share: of the first account, and the largest of any other.
-    fn beyond_parts(counts: &BTreeMap<u32, Counts>) -> (f64, f64) {
+    /// Fractions of requests beyond the share: of the first account, and the largest of any other.
+    fn beyond_fractions(counts: &BTreeMap<u32, Counts>) -> (f64, f64) {
         let others = counts.keys().filter(|number| **number > 0);
         let others = others.map(|number| Self::beyond(counts, *number));
         (Self::beyond(counts, 0), others.fold(0.0, f64::max))
     }
 }
 
-/// The flood took the capacity that the other accounts were served by.
+/// Guards against a flood that takes the capacity of the other accounts.
 #[test]
-fn a_flood_of_one_account_is_its_own_problem_after_a_second() {
+fn flood_of_one_account_affects_no_other_after_a_second() {
     for boxes in [1, 3, 30, 100] {
-        let mut play = Play::new(boxes, 10);
+        let mut play = Simulation::new(boxes, 10);
         play.run_until(1_000);
         let before = play.others_served(FLOOD_MS);
         play.run_until(FLOOD_MS + 1_000);
         let after = play.others_served(FLOOD_MS + 11_000);
-        let (flooding, others) = Play::beyond_parts(&play.counts);
-        let told: Option<Vec<u64>> = play.told.iter().copied().collect();
-        let last = told.expect("all boxes are told").into_iter().max();
+        let (flooding, others) = Simulation::beyond_fractions(&play.counts);
+        let first_received: Option<Vec<u64>> = play.first_received.iter().copied().collect();
+        let last = first_received
+            .expect("all boxes receive shares")
+            .into_iter()
+            .max();
         let last = last.unwrap_or_default().saturating_sub(FLOOD_MS);
         assert!(after >= 0.97 * before, "{boxes} boxes: {after} of {before}");
-        // (300 - 80) of 300 requests a second.
+        // (300 - 80) of 300 requests per second.
         assert!(
             (0.65..0.85).contains(&flooding),
             "{boxes} boxes: {flooding}"
@@ -258,13 +262,13 @@
 }
 
 #[test]
-fn of_thousands_of_accounts_the_one_that_floods_is_beyond_its_share() {
+fn flooding_account_among_thousands_is_beyond_its_share() {
     for (boxes, accounts) in [(3, 40), (30, 300), (100, 3_000)] {
-        let mut play = Play::new(boxes, accounts);
+        let mut play = Simulation::new(boxes, accounts);
         play.flood = 0.75 * f64::from(accounts);
         play.run_until(FLOOD_MS + 1_500);
         let served = play.others_served(FLOOD_MS + 6_500);
-        let (flooding, others) = Play::beyond_parts(&play.counts);
+        let (flooding, others) = Simulation::beyond_fractions(&play.counts);
         assert!(served > 0.95, "{accounts}: {served}");
         assert!(flooding > 0.6, "{accounts}: {flooding}");
         assert!(others < 0.1, "{accounts}: {others}");
@@ -272,29 +276,29 @@
 }
 
 #[test]
-fn without_its_collector_a_domain_shares_nothing_after_the_life_of_a_share() {
-    let mut play = Play::new(10, 10);
+fn domain_without_its_collector_limits_nothing_once_shares_expire() {
+    let mut play = Simulation::new(10, 10);
     play.run_until(FLOOD_MS + 2_000);
     play.is_lost[0] = true;
     play.run_until(FLOOD_MS + 3_600);
     play.others_served(FLOOD_MS + 8_000);
-    assert_eq!(Play::beyond_parts(&play.home), (0.0, 0.0));
-    let (elsewhere, _) = Play::beyond_parts(&play.counts);
+    assert_eq!(Simulation::beyond_fractions(&play.home), (0.0, 0.0));
+    let (elsewhere, _) = Simulation::beyond_fractions(&play.counts);
     assert!(elsewhere > 0.3, "{elsewhere}");
     play.is_lost[0] = false;
     play.run_until(FLOOD_MS + 9_000);
     play.others_served(FLOOD_MS + 12_000);
-    let (again, _) = Play::beyond_parts(&play.home);
+    let (again, _) = Simulation::beyond_fractions(&play.home);
     assert!(again > 0.6, "{again}");
 }
 
 #[test]
-fn a_domain_that_is_cut_off_computes_its_own_shares() {
-    let mut play = Play::new(10, 10);
+fn isolated_domain_computes_its_own_shares() {
+    let mut play = Simulation::new(10, 10);
     play.is_cut[0] = true;
     play.run_until(FLOOD_MS + 2_000);
     play.others_served(FLOOD_MS + 8_000);
-    let (flooding, others) = Play::beyond_parts(&play.home);
+    let (flooding, others) = Simulation::beyond_fractions(&play.home);
     assert!(flooding > 0.6, "{flooding}");
     assert!(others < 0.05, "{others}");
 }
--- a/reachtally-core/tests/core/forward/stall.rs
+++ b/reachtally-core/tests/core/forward/stall.rs
@@ -1,4 +1,4 @@
-//! Which engines have stopped making progress.
+//! Tests of the detection of engines that make no progress.
 
 use std::time::Duration;
 
@@ -12,7 +12,7 @@
 }
 
 #[test]
-fn an_engine_that_serves_another_stream_is_not_silent() {
+fn engine_that_serves_another_stream_is_not_silent() {
     let (_, keys) = fleet((0..3).map(|n| entry(n, "a", "small", 0..8)));
     let mut progress = Progress::default();
     progress.note(&keys[0..2], at(100));
@@ -22,12 +22,12 @@
 }
 
 #[test]
-fn an_engine_without_any_event_is_silent() {
+fn engine_without_any_event_is_silent() {
     let (_, keys) = fleet([entry(0, "a", "small", 0..8)]);
     assert_eq!(Progress::default().silent_since(&keys, at(0)), keys);
 }
 
-fn after(gap: u64, noted: &[u64]) -> Duration {
+fn silence_timeout_after(gap: u64, noted: &[u64]) -> Duration {
     let mut gaps = EventGaps::expected(Duration::from_millis(gap));
     for ms in noted {
         gaps.note(Duration::from_millis(*ms));
@@ -36,31 +36,31 @@
 }
 
 #[test]
-fn a_stream_is_overdue_by_its_own_pace_but_never_at_once() {
-    assert_eq!(after(1, &[]), MIN_SILENCE);
-    assert_eq!(after(100, &[]), Duration::from_millis(200));
+fn silence_timeout_follows_the_gap_but_has_a_minimum() {
+    assert_eq!(silence_timeout_after(1, &[]), MIN_SILENCE);
+    assert_eq!(silence_timeout_after(100, &[]), Duration::from_millis(200));
 }
 
-/// Callers allow pauses from 200 ms on, of which a question to a dead engine takes 80 and the prompt that is read
-/// again some 30 to 40. With four gaps this gap alone took 160.
+/// Callers tolerate pauses of 200 ms or more, of which probing a dead engine takes 80 ms and prefilling the prompt
+/// again some 30 to 40 ms. With a timeout of four gaps, the gap alone took 160 ms.
 #[test]
-fn a_steady_stream_on_a_slow_chain_is_overdue_while_it_can_still_go_on_in_time() {
-    let steady = after(40, &[38, 42, 40, 41, 39, 40, 42, 38, 40, 40, 41, 39]);
+fn steady_stream_times_out_early_enough_to_resume_in_time() {
+    let steady = silence_timeout_after(40, &[38, 42, 40, 41, 39, 40, 42, 38, 40, 40, 41, 39]);
     assert!(steady <= Duration::from_millis(85), "{steady:?}");
 }
 
-/// With two gaps connections that only ask cost twice as much where gaps come unevenly.
+/// With a timeout of two gaps, connections opened only to probe cost twice as much on streams with uneven gaps.
 #[test]
-fn a_stream_whose_events_come_unevenly_is_given_more_time_but_no_more_than_four_gaps() {
-    let uneven = after(40, &[20, 70, 15, 80, 25, 60, 20, 65, 30, 70, 20, 60]);
+fn uneven_stream_gets_a_longer_timeout_of_at_most_four_gaps() {
+    let uneven = silence_timeout_after(40, &[20, 70, 15, 80, 25, 60, 20, 65, 30, 70, 20, 60]);
     assert!(uneven >= Duration::from_millis(100), "{uneven:?}");
-    let wild = after(40, &[0, 400, 0, 0, 0, 0, 0]);
-    assert!(wild <= Duration::from_millis(400), "{wild:?}");
+    let extreme = silence_timeout_after(40, &[0, 400, 0, 0, 0, 0, 0]);
+    assert!(extreme <= Duration::from_millis(400), "{extreme:?}");
 }
 
-/// A stream alone waits longer than all streams over an engine together.
+/// A single stream has a longer timeout than all streams over an engine together.
 #[test]
-fn the_silence_of_all_streams_counts_before_that_of_one() {
+fn shared_silence_times_out_before_that_of_a_single_stream() {
     for gap_ms in [5, 45, 80, 400] {
         let gaps = EventGaps::expected(Duration::from_millis(gap_ms));
         assert!(gaps.shared_silence_timeout() <= gaps.silence_timeout());
--- a/reachtally-core/tests/core/forward/stewardship.rs
+++ b/reachtally-core/tests/core/forward/stewardship.rs
@@ -1,4 +1,4 @@
-//! The steward's part and its fencing token.
+//! Tests of the stewardship role and its fencing token.
 
 use std::time::Duration;
 
@@ -16,17 +16,17 @@
 }
 
 #[test]
-fn a_part_that_was_granted_permits_orders_until_it_lapses() {
+fn granted_stewardship_permits_orders_until_it_expires() {
     let mut part = Stewardship::default();
     assert_eq!(part.permit(at(1)), None);
     part.grant(token(7), at(3));
-    let permit = part.permit(at(2)).expect("it is held");
+    let permit = part.permit(at(2)).expect("the role is held");
     assert_eq!(permit.token(), token(7));
     assert_eq!(part.permit(at(3)), None);
 }
 
 #[test]
-fn a_part_that_was_taken_away_permits_nothing() {
+fn revoked_stewardship_permits_nothing() {
     let mut part = Stewardship::default();
     part.grant(token(7), at(3));
     part.revoke();
@@ -34,10 +34,10 @@
 }
 
 #[test]
-fn a_refused_token_permits_nothing_until_a_newer_one_is_granted() {
+fn superseded_token_permits_nothing_until_a_newer_one_is_granted() {
     let mut part = Stewardship::default();
     part.grant(token(7), at(3));
-    let permit = part.permit(at(1)).expect("it is held");
+    let permit = part.permit(at(1)).expect("the role is held");
     assert!(part.superseded(permit), "the first refusal is news");
     assert!(!part.superseded(permit), "the second one is none");
     assert_eq!(part.permit(at(1)), None);
@@ -51,10 +51,10 @@
 }
 
 #[test]
-fn a_late_refusal_of_an_older_token_does_not_end_a_newer_part() {
+fn late_refusal_of_an_older_token_does_not_end_newer_stewardship() {
     let mut part = Stewardship::default();
     part.grant(token(7), at(3));
-    let old = part.permit(at(1)).expect("it is held");
+    let old = part.permit(at(1)).expect("the role is held");
     part.grant(token(8), at(9));
     part.superseded(old);
     assert!(part.permit(at(2)).is_some());
