--- a/reachtally-core/tests/core/chains.rs
+++ b/reachtally-core/tests/core/chains.rs
@@ -1,4 +1,4 @@
-//! A chain covers the model's layers in order, each layer once.
+//! Tests of the check that a chain covers the layers of the model in order, each layer once.
 
 use reachtally_core::chain::{ChainError, check};
 use reachtally_core::declare::Layers;
@@ -11,12 +11,12 @@
 }
 
 #[test]
-fn a_whole_chain_passes() {
+fn complete_chain_is_accepted() {
     assert_eq!(check(&ranges(&[(0, 4), (4, 6), (6, 12)]), 12), Ok(()));
 }
 
 #[test]
-fn a_gap_an_overlap_and_a_wrong_end_are_found() {
+fn gaps_overlaps_and_wrong_ends_are_rejected() {
     let discontinuous = |expected, found| Err(ChainError::Discontinuous { expected, found });
     assert_eq!(check(&[], 12), Err(ChainError::Empty));
     assert_eq!(check(&ranges(&[(1, 12)]), 12), discontinuous(0, 1));
--- a/reachtally-core/tests/core/claims.rs
+++ b/reachtally-core/tests/core/claims.rs
@@ -1,4 +1,4 @@
-//! A request that may not be repeated runs at most once, whatever fails.
+//! Tests that a request that may not be repeated runs at most once under any failure.
 
 use std::time::Duration;
 
@@ -21,7 +21,7 @@
     End::Recorded("done new".to_owned())
 }
 
-fn order_time(fabric: &mut Fabric, time: Duration) {
+fn set_order_latency(fabric: &mut Fabric, time: Duration) {
     for instance in 0..2 {
         let url = service_url(ORDERS, instance);
         service(fabric, &url).time = time;
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn a_claimed_request_runs_once_and_a_retry_gets_the_recorded_outcome() {
+fn claimed_request_runs_once_and_retries_get_the_recorded_outcome() {
     let mut fabric = fabric(2);
     let first = fabric.ask(0, order("k"));
     fabric.run_for(SECOND);
@@ -43,9 +43,9 @@
 }
 
 #[test]
-fn a_retry_while_the_first_runs_waits_for_its_outcome() {
+fn retry_during_the_first_run_waits_for_its_outcome() {
     let mut fabric = fabric(2);
-    order_time(&mut fabric, SECOND);
+    set_order_latency(&mut fabric, SECOND);
     let first = fabric.ask(0, order("k"));
     fabric.run_for(SECOND / 10);
     let same_box = fabric.ask(0, order("k"));
@@ -58,7 +58,7 @@
 }
 
 #[test]
-fn two_boxes_that_claim_at_once_run_it_once() {
+fn concurrent_claims_of_two_boxes_run_the_request_once() {
     let mut fabric = fabric(2);
     let a = fabric.ask(0, order("k"));
     let b = fabric.ask(1, order("k"));
@@ -70,7 +70,7 @@
 }
 
 #[test]
-fn a_lost_append_answer_is_settled_by_reading() {
+fn lost_append_answer_is_resolved_by_reading_the_log() {
     let mut fabric = fabric(1);
     fabric.log.lose_answers = 1;
     let key = fabric.ask(0, order("k"));
@@ -87,7 +87,7 @@
 }
 
 #[test]
-fn an_append_that_had_no_effect_is_repeated() {
+fn append_without_effect_is_repeated() {
     let mut fabric = fabric(1);
     fabric.log.lose_appends = 2;
     let key = fabric.ask(0, order("k"));
@@ -97,7 +97,7 @@
 }
 
 #[test]
-fn while_the_log_is_down_it_is_refused_as_not_run_and_never_sent_later() {
+fn keyed_request_during_a_log_outage_is_refused_as_not_run_and_never_sent() {
     let mut fabric = fabric(1);
     fabric.log.down = true;
     let key = fabric.ask(0, order("k"));
@@ -122,11 +122,11 @@
     fabric.log.down = true;
     let key = fabric.ask(0, completion(5));
     fabric.run_for(5 * SECOND);
-    assert_whole(&fabric, key, 5);
+    assert_complete(&fabric, key, 5);
 }
 
 #[test]
-fn a_claim_that_lands_after_its_request_was_refused_is_released() {
+fn claim_appended_after_its_request_was_refused_is_released() {
     let mut fabric = fabric(2);
     fabric.log.delay = 8 * SECOND;
     let key = fabric.ask(0, order("k"));
@@ -145,7 +145,7 @@
 }
 
 #[test]
-fn a_box_paused_between_claim_and_send_does_not_double_it() {
+fn box_paused_between_claim_and_send_does_not_run_the_request_twice() {
     let mut fabric = fabric(2);
     let first = fabric.ask(0, order("k"));
     let wake = fabric.now + 30 * SECOND;
@@ -163,9 +163,9 @@
 }
 
 #[test]
-fn an_owner_that_dies_leaves_the_outcome_unknown_and_nobody_takes_over() {
+fn crash_of_the_owner_leaves_the_outcome_unknown_without_takeover() {
     let mut fabric = fabric(2);
-    order_time(&mut fabric, SECOND);
+    set_order_latency(&mut fabric, SECOND);
     fabric.ask(0, order("k"));
     fabric.run_for(SECOND / 2);
     assert_eq!(runs(&fabric, "k"), 1);
@@ -180,7 +180,7 @@
 }
 
 #[test]
-fn an_outcome_that_is_unknown_is_recorded_as_such() {
+fn unknown_outcome_is_recorded_as_unknown() {
     let mut fabric = fabric(2);
     for instance in 0..2 {
         let url = service_url(ORDERS, instance);
@@ -200,12 +200,12 @@
         Some(&End::Unknown(Unknown::OwnedElsewhere))
     );
     let ended_at = fabric.nodes[1].answered[&retry].ended_at;
-    assert_eq!(ended_at, Some(asked_at), "the answer was held back");
+    assert_eq!(ended_at, Some(asked_at), "the answer was delayed");
     assert_eq!(runs(&fabric, "k"), 1);
 }
 
 #[test]
-fn the_same_key_with_another_body_is_an_error_of_its_own() {
+fn same_key_with_another_body_is_refused_as_key_reused() {
     let mut fabric = fabric(2);
     fabric.ask(0, order("k"));
     fabric.run_for(SECOND);
@@ -219,7 +219,7 @@
 }
 
 #[test]
-fn keys_of_different_accounts_are_different() {
+fn keys_are_scoped_to_the_account() {
     let mut fabric = fabric(1);
     let mut other = order("k");
     other.account = "small".to_owned();
@@ -231,7 +231,7 @@
 }
 
 #[test]
-fn many_claims_share_few_appends() {
+fn concurrent_claims_are_batched_into_few_appends() {
     let mut fabric = fabric(1);
     for n in 0..50 {
         fabric.ask(0, order(&format!("k{n}")));
@@ -244,13 +244,13 @@
 }
 
 #[test]
-fn a_keyed_completion_runs_once_and_its_text_is_recorded() {
+fn keyed_completion_runs_once_and_records_its_text() {
     let mut fabric = fabric(2);
     let mut ask = completion(5);
     ask.idempotency_key = Some("quote-1".to_owned());
     let first = fabric.ask(0, ask.clone());
     fabric.run_for(5 * SECOND);
-    assert_whole(&fabric, first, 5);
+    assert_complete(&fabric, first, 5);
     let text = fabric.nodes[0].answered[&first].text();
     let retry = fabric.ask(1, ask);
     fabric.run_for(SECOND);
@@ -258,9 +258,9 @@
 }
 
 #[test]
-fn a_keyed_request_whose_caller_hangs_up_keeps_its_key_once_sent() {
+fn keyed_request_keeps_its_claim_if_the_caller_disconnects_after_the_send() {
     let mut fabric = fabric(2);
-    order_time(&mut fabric, SECOND);
+    set_order_latency(&mut fabric, SECOND);
     let first = fabric.ask(0, order("k"));
     fabric.run_for(SECOND / 2);
     fabric.handle(0, reachtally_core::Event::Disconnected(first));
--- a/reachtally-core/tests/core/config.rs
+++ b/reachtally-core/tests/core/config.rs
@@ -1,4 +1,5 @@
-//! The configuration fold: the same verdict everywhere, never back, no gap skipped.
+//! Tests of the configuration fold: every box reaches the same verdict, revisions never go back, and no offset is
+//! skipped.
 
 use reachtally_core::declare::{Kind, Model, Object};
 use reachtally_core::fold::{Config, Edit, EditChange, FoldError, Operation, Verdict};
@@ -20,7 +21,7 @@
 }
 
 #[test]
-fn an_operation_published_twice_has_one_effect() {
+fn duplicate_operation_is_applied_once() {
     let mut config = Config::default();
     assert_eq!(config.fold(0, &put("a", 0, 4)), Ok(Some(Verdict::Applied)));
     assert_eq!(
@@ -32,9 +33,9 @@
 }
 
 #[test]
-fn operators_who_race_get_one_winner_and_one_conflict() {
+fn concurrent_operations_yield_one_applied_and_one_conflict() {
     let mut config = Config::default();
-    config.fold(0, &put("a", 0, 4)).expect("in order");
+    config.fold(0, &put("a", 0, 4)).expect("offset is next");
     assert_eq!(config.fold(1, &put("b", 1, 8)), Ok(Some(Verdict::Applied)));
     let conflict = Verdict::Conflict {
         kind: Kind::Model,
@@ -50,12 +51,12 @@
 }
 
 #[test]
-fn an_operation_with_one_edit_in_conflict_changes_nothing() {
+fn operation_with_one_conflicting_edit_changes_nothing() {
     let mut config = Config::default();
-    config.fold(0, &put("a", 0, 4)).expect("in order");
+    config.fold(0, &put("a", 0, 4)).expect("offset is next");
     let mut operation = put("b", 1, 8);
     operation.edits.push(put("", 7, 9).edits.remove(0));
-    let verdict = config.fold(1, &operation).expect("in order");
+    let verdict = config.fold(1, &operation).expect("offset is next");
     assert!(matches!(verdict, Some(Verdict::Conflict { base: 7, .. })));
     assert_eq!(
         config.served("m").map(|served| served.model.layers),
@@ -64,9 +65,9 @@
 }
 
 #[test]
-fn a_gap_in_offsets_is_an_error_and_old_offsets_have_no_effect() {
+fn offset_gap_is_an_error_and_old_offsets_are_ignored() {
     let mut config = Config::default();
-    config.fold(0, &put("a", 0, 4)).expect("in order");
+    config.fold(0, &put("a", 0, 4)).expect("offset is next");
     let gap = FoldError::Gap {
         expected: 1,
         found: 3,
@@ -81,7 +82,7 @@
 }
 
 #[test]
-fn folding_the_same_records_yields_the_same_configuration() {
+fn fold_of_the_same_records_is_deterministic() {
     let operations = [
         put("a", 0, 4),
         put("b", 1, 8),
@@ -91,7 +92,9 @@
     let fold = || {
         let mut config = Config::default();
         for (offset, operation) in operations.iter().enumerate() {
-            config.fold(offset as u64, operation).expect("in order");
+            config
+                .fold(offset as u64, operation)
+                .expect("offset is next");
         }
         config
     };
--- a/reachtally-core/tests/core/domains.rs
+++ b/reachtally-core/tests/core/domains.rs
@@ -1,4 +1,4 @@
-//! Failure domains: membership, the spread of the configuration, the steward's lease and orders.
+//! Tests of failure domains: membership, replication of the configuration, and the lease and orders of the steward.
 
 use std::time::Duration;
 
@@ -14,7 +14,7 @@
 
 use crate::setup::*;
 
-/// Daemons of the domain in which the engines are, and of another one.
+/// The domain of each daemon. All engines are in `d1`.
 const DOMAINS: [&str; 5] = ["d1", "d1", "d1", "d2", "d2"];
 
 fn joined() -> Fabric {
@@ -26,11 +26,11 @@
 
 fn stewards(fabric: &Fabric, domain: &str) -> Vec<usize> {
     let daemons = 0..fabric.nodes.len();
-    let acts = |daemon: &usize| {
+    let is_acting_steward = |daemon: &usize| {
         let paused = fabric.nodes[*daemon].paused_until > fabric.now;
         DOMAINS[*daemon] == domain && !paused && fabric.nodes[*daemon].world.is_steward(fabric.now)
     };
-    daemons.filter(acts).collect()
+    daemons.filter(is_acting_steward).collect()
 }
 
 fn live(fabric: &Fabric, daemon: usize) -> Vec<String> {
@@ -54,23 +54,23 @@
 }
 
 #[test]
-fn daemons_of_a_domain_learn_of_each_other_and_of_no_others() {
+fn daemons_know_only_members_of_their_own_domain() {
     let fabric = joined();
     assert_eq!(live(&fabric, 0), ["b1", "b2"]);
     assert_eq!(live(&fabric, 4), ["b3"]);
 }
 
 #[test]
-fn a_daemon_that_dies_is_no_member_after_the_time_out() {
+fn silent_daemon_is_no_member_after_the_timeout() {
     let mut fabric = joined();
-    let long = fabric.now + 1000 * SECOND;
-    fabric.pause(1, long);
+    let resume = fabric.now + 1000 * SECOND;
+    fabric.pause(1, resume);
     fabric.run_for(MEMBER_TIMEOUT + 5 * SECOND);
     assert_eq!(live(&fabric, 0), ["b2"]);
 }
 
 #[test]
-fn a_daemon_cut_off_from_the_log_gets_the_configuration_from_its_peers() {
+fn daemon_without_the_log_gets_the_configuration_from_peers() {
     let mut fabric = joined();
     fabric.log.cut.insert(1);
     new_model(&mut fabric, "new");
@@ -81,7 +81,7 @@
 }
 
 #[test]
-fn a_domain_cut_off_from_everything_serves_on_by_what_it_has_and_catches_up() {
+fn isolated_domain_serves_with_its_last_configuration_and_catches_up() {
     let mut fabric = joined();
     fabric.log.cut.extend([0, 1, 2]);
     new_model(&mut fabric, "new");
@@ -89,14 +89,14 @@
     assert_eq!(offsets(&fabric), [1, 1, 1, 2, 2]);
     let key = fabric.ask(0, completion(5));
     fabric.run_for(5 * SECOND);
-    assert_whole(&fabric, key, 5);
+    assert_complete(&fabric, key, 5);
     fabric.heal_log();
     fabric.run_for(SECOND);
     assert_eq!(offsets(&fabric), [2, 2, 2, 2, 2]);
 }
 
 #[test]
-fn a_daemon_that_missed_many_records_takes_a_snapshot_from_a_peer() {
+fn daemon_far_behind_adopts_a_snapshot_of_a_peer() {
     let mut fabric = joined();
     fabric.log.cut.insert(1);
     fabric.cut_peers.insert(1);
@@ -112,7 +112,7 @@
 }
 
 #[test]
-fn snapshots_are_written_and_equal_the_fold() {
+fn snapshots_are_written_and_not_ahead_of_the_log() {
     let mut fabric = joined();
     for n in 0..450 {
         new_model(&mut fabric, &format!("m{n}"));
@@ -123,14 +123,14 @@
     let last = snapshots
         .iter()
         .max_by_key(|config| config.next())
-        .expect("there is one");
+        .expect("a snapshot exists");
     let mut other = fabric.nodes[3].world.config.clone();
     assert!(!other.adopt(last.clone()), "a snapshot is ahead of the log");
     assert!(last.next() >= 400);
 }
 
 #[test]
-fn each_domain_has_one_steward_and_confirms_the_configuration() {
+fn each_domain_has_one_steward_that_confirms_the_configuration() {
     let mut fabric = joined();
     assert_eq!(stewards(&fabric, "d1").len(), 1);
     assert_eq!(stewards(&fabric, "d2").len(), 1);
@@ -142,7 +142,7 @@
 }
 
 #[test]
-fn a_domain_that_is_cut_off_is_shown_as_behind() {
+fn isolated_domain_is_reported_as_behind() {
     let mut fabric = joined();
     fabric.run_for(5 * SECOND);
     fabric.log.cut.extend([3, 4]);
@@ -154,14 +154,17 @@
 }
 
 #[test]
-fn a_steward_that_is_paused_is_replaced_and_does_not_act_when_it_wakes() {
+fn paused_steward_is_replaced_and_does_not_act_on_resume() {
     let mut fabric = joined();
     let first = stewards(&fabric, "d1")[0];
-    let wake = fabric.now + 60 * SECOND;
-    fabric.pause(first, wake);
+    let resume = fabric.now + 60 * SECOND;
+    fabric.pause(first, resume);
     for _ in 0..65 {
         fabric.run_for(SECOND);
-        assert!(stewards(&fabric, "d1").len() <= 1, "two stewards at once");
+        assert!(
+            stewards(&fabric, "d1").len() <= 1,
+            "more than one steward at once"
+        );
     }
     let second = stewards(&fabric, "d1");
     assert_eq!(second.len(), 1);
@@ -169,7 +172,7 @@
 }
 
 #[test]
-fn during_an_outage_of_the_log_the_lease_runs_out_and_nobody_acts() {
+fn lease_expires_during_a_log_outage_and_no_steward_acts() {
     let mut fabric = joined();
     fabric.log.down = true;
     fabric.run_for(LEASE);
@@ -180,7 +183,7 @@
 }
 
 #[test]
-fn a_lease_is_taken_only_after_the_one_before_ended_by_the_logs_clock() {
+fn lease_is_granted_only_after_the_previous_one_expired_by_the_log_clock() {
     let mut domains = Domains::default();
     let lease = |holder| DomainRecord::Lease {
         domain: "d".to_owned(),
@@ -190,24 +193,24 @@
     let lasts = LEASE.as_millis() as u64;
     domains.fold(0, 0, &lease(1));
     domains.fold(1, lasts - 1, &lease(2));
-    let held = domains.get("d").lease.expect("it is held");
+    let held = domains.get("d").lease.expect("lease is held");
     assert_eq!((held.holder, held.fence), (Incarnation(1), 0));
     domains.fold(2, lasts - 1, &lease(1));
     domains.fold(3, 2 * lasts - 2, &lease(2));
     assert_eq!(
-        domains.get("d").lease.expect("it is held").holder,
+        domains.get("d").lease.expect("lease is held").holder,
         Incarnation(1)
     );
     domains.fold(4, 2 * lasts - 1, &lease(2));
-    let held = domains.get("d").lease.expect("it is held");
+    let held = domains.get("d").lease.expect("lease is held");
     assert_eq!((held.holder, held.fence), (Incarnation(2), 4));
-    // A holder whose lease ended gets a new fence like anybody else.
+    // A holder whose lease has expired gets a new fence like any other.
     domains.fold(5, 5 * lasts, &lease(2));
-    assert_eq!(domains.get("d").lease.expect("it is held").fence, 5);
+    assert_eq!(domains.get("d").lease.expect("lease is held").fence, 5);
 }
 
 #[test]
-fn only_the_holders_word_confirms_and_a_confirmed_offset_never_goes_back() {
+fn only_the_lease_holder_confirms_and_the_confirmed_offset_never_falls() {
     let mut domains = Domains::default();
     let confirm = |holder, config_next| DomainRecord::Confirm {
         domain: "d".to_owned(),
@@ -239,7 +242,7 @@
 }
 
 #[test]
-fn a_declared_adapter_is_loaded_on_every_engine_and_unloaded_when_removed() {
+fn declared_adapter_is_loaded_on_every_engine_and_unloaded_when_removed() {
     let mut fabric = joined();
     declare_adapter(&mut fabric);
     fabric.run_for(5 * SECOND);
@@ -258,14 +261,14 @@
     for url in &urls {
         assert!(!loaded(&fabric, url), "{url}");
     }
-    // Only the steward of the engines' domain gave orders, each once.
+    // Only the steward of the domain of the engines sends orders, each once.
     let steward = stewards(&fabric, "d1")[0];
     assert!(fabric.orders.iter().all(|(daemon, ..)| *daemon == steward));
     assert_eq!(fabric.orders.len(), 2 * urls.len());
 }
 
 #[test]
-fn an_engine_that_comes_back_empty_is_ordered_again() {
+fn restarted_engine_gets_its_load_order_again() {
     let mut fabric = joined();
     declare_adapter(&mut fabric);
     fabric.run_for(5 * SECOND);
@@ -277,7 +280,7 @@
 }
 
 #[test]
-fn without_the_log_no_order_goes_to_targets_that_check_no_fence() {
+fn no_orders_to_targets_without_fence_checks_during_a_log_outage() {
     let mut fabric = joined();
     fabric.log.down = true;
     fabric.run_for(LEASE - LEASE_MARGIN);
@@ -306,26 +309,22 @@
 }
 
 #[test]
-fn a_planned_stop_waits_for_what_runs_there() {
+fn planned_stop_waits_for_running_requests() {
     let mut fabric = joined();
-    // The request runs at a daemon that is not the steward.
+    // The request runs on a daemon that is not the steward.
     let daemon = (0..3).find(|daemon| !stewards(&fabric, "d1").contains(daemon));
-    let daemon = daemon.expect("two are no stewards");
+    let daemon = daemon.expect("two daemons are not stewards");
     let key = fabric.ask(daemon, completion(400));
     fabric.run_for(SECOND);
     let serving = fabric.nodes[daemon]
         .world
         .serving(key, 1)
-        .expect("it runs")
+        .expect("request runs")
         .to_owned();
     let url = format!("http://{serving}");
     stop(&mut fabric, &serving);
     fabric.run_for(8 * SECOND);
-    assert_eq!(
-        end(&fabric, daemon, key),
-        None,
-        "the request is still to run"
-    );
+    assert_eq!(end(&fabric, daemon, key), None, "the request has not ended");
     assert!(!stopped(&fabric, &url));
     fabric.run_for(20 * SECOND);
     assert!(matches!(
@@ -335,52 +334,52 @@
     assert!(stopped(&fabric, &url));
     let ended_at = fabric.nodes[daemon].answered[&key]
         .ended_at
-        .expect("it ended");
+        .expect("request has ended");
     assert!(fabric.now.since(ended_at) >= STOP_IDLE_TIME);
 }
 
 #[test]
-fn a_stop_waits_for_a_daemon_that_has_not_confirmed_the_drain() {
+fn planned_stop_waits_for_daemons_that_have_not_confirmed_the_drain() {
     let mut fabric = joined();
     let steward = stewards(&fabric, "d1")[0];
     let other = (0..3)
         .find(|daemon| *daemon != steward)
-        .expect("there are two");
+        .expect("two daemons are not stewards");
     fabric.log.cut.insert(other);
     fabric.cut_peers.insert(other);
     stop(&mut fabric, "e10");
     fabric.run_for(15 * SECOND);
     assert!(!stopped(&fabric, &engine_url(1, 0)));
-    // Once it counts as gone it holds the stop up no more.
+    // Once the daemon is no longer a member, it does not delay the stop.
     fabric.run_for(MEMBER_TIMEOUT);
     assert!(stopped(&fabric, &engine_url(1, 0)));
 }
 
 #[test]
-fn a_daemon_that_was_paused_admits_nothing_until_it_has_compared_its_configuration() {
+fn resumed_daemon_admits_nothing_until_its_configuration_is_compared() {
     let mut fabric = joined();
-    let wake = fabric.now + PAUSE_THRESHOLD + 10 * SECOND;
-    fabric.pause(0, wake);
+    let resume = fabric.now + PAUSE_THRESHOLD + 10 * SECOND;
+    fabric.pause(0, resume);
     fabric.run_for(5 * SECOND);
-    // What was sent to it before the cut reaches it when it wakes, and proves nothing.
+    // Messages sent before the cut arrive when it resumes, and prove nothing.
     fabric.log.cut.insert(0);
     fabric.cut_peers.insert(0);
-    fabric.run_until(wake);
+    fabric.run_until(resume);
     let refused = fabric.ask(0, completion(2));
     assert_eq!(
         end(&fabric, 0, refused),
         Some(&End::NotRun(Refusal::Paused))
     );
-    // Alone and cut off, it goes on with what it has after a while.
+    // Without any contact it resumes with its own configuration after a delay.
     fabric.run_for(3 * SECOND);
     let served = fabric.ask(0, completion(2));
     fabric.run_for(5 * SECOND);
-    assert_whole(&fabric, served, 2);
+    assert_complete(&fabric, served, 2);
     assert!(world(&fabric).counters.pauses_noticed >= 1);
 }
 
 #[test]
-fn a_new_daemon_gets_the_configuration_while_the_log_is_down() {
+fn new_daemon_gets_the_configuration_during_a_log_outage() {
     let mut fabric = joined();
     new_model(&mut fabric, "new");
     fabric.run_for(SECOND);
@@ -393,13 +392,13 @@
 }
 
 #[test]
-fn a_daemon_that_was_paused_serves_by_the_new_configuration_at_once() {
+fn resumed_daemon_uses_the_new_configuration_at_once() {
     let mut fabric = joined();
-    let wake = fabric.now + PAUSE_THRESHOLD + 10 * SECOND;
-    fabric.pause(0, wake);
+    let resume = fabric.now + PAUSE_THRESHOLD + 10 * SECOND;
+    fabric.pause(0, resume);
     fabric.run_for(SECOND);
     fabric.drain(Kind::Engine, "e00", true);
-    fabric.run_until(wake);
+    fabric.run_until(resume);
     fabric.run_for(SECOND / 10);
     let key = fabric.ask(0, completion(2));
     assert_eq!(world(&fabric).serving(key, 0), Some("e01"));
--- a/reachtally-core/tests/core/forward/admission.rs
+++ b/reachtally-core/tests/core/forward/admission.rs
@@ -66,7 +66,8 @@
 const SIMULATED_MS: u64 = 20_000;
 /// Start of measurement; before it, the service is still filling up.
 const MEASURED_FROM_MS: u64 = 5_000;
-/// Start of measurement after a burst: by then refused callers have retried and queued requests have ended.
+/// Start of measurement after a burst: by then refused callers have retried, and the requests that they delayed have
+/// ended.
 const SETTLED_FROM_MS: u64 = 16_000;
 
 #[derive(Clone, Copy)]
@@ -463,8 +464,7 @@
         let classes = [class(0), class(1), class(2), beyond];
         let verdicts = classes.map(|class| severity(admit(Class { is_retry, ..class }, offer, &cx)));
         prop_assert!(verdicts.is_sorted(), "{verdicts:?}");
-        // The most urgent rank may always use its burst allowance, unless the level is below it or others are ahead
-        // in the queue.
+        // Less urgent ranks leave the most urgent one its burst allowance, even while nothing may be admitted.
         prop_assert!(verdicts[0] == 0 || level < -1.0 || ahead > 0);
         // A retry does no worse than a first attempt, and no better than the next more urgent rank.
         let of = |rank, is_retry| severity(admit(Class { is_retry, ..class(rank) }, offer, &cx));
--- a/reachtally-core/tests/core/forward/count.rs
+++ b/reachtally-core/tests/core/forward/count.rs
@@ -108,10 +108,10 @@
             };
             let ip = IpAddr::from(Ipv4Addr::new(10, 0, 0, of as u8));
             let run = report.run;
-            let there = &mut self.collectors[collector];
-            there.receive(report, ip, now);
-            there.update_totals(now);
-            let answers = there.answers(run, self.number);
+            let receiver = &mut self.collectors[collector];
+            receiver.receive(report, ip, now);
+            receiver.update_totals(now);
+            let answers = receiver.answers(run, self.number);
             for answer in answers {
                 self.remote_loads[of].receive(answer, &mut Fleet::default(), now);
             }
--- a/reachtally-core/tests/core/forward/era.rs
+++ b/reachtally-core/tests/core/forward/era.rs
@@ -10,9 +10,9 @@
     Instant::from_elapsed(Duration::from_millis(ms))
 }
 
-/// Handles an answer of era `told` to a call that began at `began` and took 5 ms.
-fn answer(eras: &mut EraTracker, told: u64, began: u64) -> Result<Era, Outdated> {
-    eras.era_of_answer(Some(Era(told)), at(began), at(began + 5))
+/// Handles an answer of era `reported` to a call that began at `began` and took 5 ms.
+fn answer(eras: &mut EraTracker, reported: u64, began: u64) -> Result<Era, Outdated> {
+    eras.era_of_answer(Some(Era(reported)), at(began), at(began + 5))
 }
 
 #[test]
@@ -79,14 +79,14 @@
 proptest! {
     /// The held era never falls whatever era answers carry, and each accepted answer is of the held era.
     #[test]
-    fn held_era_never_falls(told in prop::collection::vec((prop::option::of(0u64..5), 0u64..50), 1..40)) {
+    fn held_era_never_falls(reported in prop::collection::vec((prop::option::of(0u64..5), 0u64..50), 1..40)) {
         let mut eras = EraTracker::default();
         let mut now = 0;
-        for (told, back) in told {
+        for (reported, back) in reported {
             let before = eras.held();
             now += 20;
             let began = at(now - back.min(now));
-            let of = eras.era_of_answer(told.map(Era), began, at(now));
+            let of = eras.era_of_answer(reported.map(Era), began, at(now));
             prop_assert!(eras.held() >= before);
             prop_assert!(of.is_err() || of == Ok(eras.held()));
         }
--- a/reachtally-core/tests/core/forward/fleet.rs
+++ b/reachtally-core/tests/core/forward/fleet.rs
@@ -189,8 +189,8 @@
         layers: 0..0,
         ..run_entry(2_000)
     };
-    let (after, is_news) = fleet.upsert(empty, EntrySource::Listed, at(20));
-    assert!(is_news && after != before);
+    let (after, is_changed) = fleet.upsert(empty, EntrySource::Listed, at(20));
+    assert!(is_changed && after != before);
     assert!(fleet.get(before).is_none());
     assert_eq!(fleet.find("e0"), Some(after));
     let engine = fleet.get(after).expect("target exists");
--- a/reachtally-core/tests/core/forward/heavy.rs
+++ b/reachtally-core/tests/core/forward/heavy.rs
@@ -26,7 +26,7 @@
     max_waiting: usize,
 }
 
-/// Boxes that receive the loads of all engines with each report.
+/// Boxes that know of each other what the relay sends with each report.
 const FEW: BoxSetup = BoxSetup {
     count: 16,
     report_ms: 200,
@@ -89,11 +89,11 @@
 
 impl EngineState {
     /// Time at which `need` tokens are free, or `None` if the queue is full.
-    fn free_at(&mut self, now: f64, need: f64, room: f64, max_waiting: usize) -> Option<f64> {
+    fn free_at(&mut self, now: f64, need: f64, capacity: f64, max_waiting: usize) -> Option<f64> {
         self.requests.retain(|req| req.ends > now);
         self.requests.sort_by(|a, b| a.ends.total_cmp(&b.ends));
         let mut held: f64 = self.requests.iter().map(|req| req.tokens).sum();
-        if held + need <= room {
+        if held + need <= capacity {
             return Some(now);
         }
         let waiting = self.requests.iter().filter(|req| req.begins > now).count();
@@ -102,7 +102,7 @@
         }
         for req in &self.requests {
             held -= req.tokens;
-            if held + need <= room {
+            if held + need <= capacity {
                 return Some(req.ends);
             }
         }
@@ -151,7 +151,7 @@
 
 struct Simulation {
     model: LayerModel,
-    setting: BoxSetup,
+    setup: BoxSetup,
     boxes: Vec<SimulatedBox>,
     engines: Vec<EngineState>,
     running: Vec<Running>,
@@ -169,7 +169,7 @@
         };
         Simulation {
             model,
-            setting: boxes,
+            setup: boxes,
             boxes: (0..boxes.count).map(a_box).collect(),
             engines: vec![EngineState::default(); entries.len()],
             running: Vec::new(),
@@ -184,7 +184,7 @@
         let mut next = 0.0;
         for ms in 0..SIMULATED_MS {
             self.settle(ms);
-            if ms.is_multiple_of(self.setting.report_ms) {
+            if ms.is_multiple_of(self.setup.report_ms) {
                 self.report();
             }
             while next <= ms as f64 {
@@ -202,13 +202,13 @@
                 return;
             };
             let Running { at, path, need } = &self.running[number];
-            let there = &mut self.boxes[*at];
-            let rows: Vec<EngineKey> = path.iter().map(|engine| there.keys[*engine]).collect();
+            let sender = &mut self.boxes[*at];
+            let rows: Vec<EngineKey> = path.iter().map(|engine| sender.keys[*engine]).collect();
             if !is_end {
-                there.fleet.end_prefill(&rows, need.prompt);
+                sender.fleet.end_prefill(&rows, need.prompt);
                 continue;
             }
-            there.fleet.end(&rows, need.held());
+            sender.fleet.end(&rows, need.held());
         }
     }
 
@@ -221,10 +221,14 @@
                 let sums = others.fold((0.0, 0.0, 0.0), |sum, (_, own)| {
                     (sum.0 + own.0, sum.1 + own.1, sum.2 + own.2)
                 });
-                let there = &mut self.boxes[at];
-                let row = there.keys[engine];
-                let row = there.fleet.get_mut(row).expect("engine exists");
-                (row.remote_running, row.remote_tokens, row.remote_prefill) = sums;
+                let sender = &mut self.boxes[at];
+                let key = sender.keys[engine];
+                let state = sender.fleet.get_mut(key).expect("engine exists");
+                (
+                    state.remote_running,
+                    state.remote_tokens,
+                    state.remote_prefill,
+                ) = sums;
             }
         }
     }
@@ -260,37 +264,38 @@
             draw: self.rng.random(),
             limits: Limits::Enforced,
         };
-        let there = &mut self.boxes[at];
-        let Some(choice) = path(&there.fleet, SERVICE, &self.model, need, &cx) else {
+        let sender = &mut self.boxes[at];
+        let Some(choice) = path(&sender.fleet, SERVICE, &self.model, need, &cx) else {
             return false;
         };
         self.outcome.sends += 1;
         let rows = choice.path.engines();
-        let number = |key: &EngineKey| there.keys.iter().position(|known| known == key);
+        let number = |key: &EngineKey| sender.keys.iter().position(|known| known == key);
         let path: Vec<usize> = rows.iter().filter_map(number).collect();
         let mut token_ms = 0.0;
         let mut read_at = now as f64;
-        for (row, engine) in rows.iter().zip(&path) {
-            let entry = &there.fleet.get(*row).expect("engine exists").entry;
+        for (key, engine) in rows.iter().zip(&path) {
+            let entry = &sender.fleet.get(*key).expect("engine exists").entry;
             let card = self.model.cards[&**entry.card.as_ref().expect("engine has a card")];
             let layers = entry.layers.len() as u32;
-            let engines = &mut self.engines[*engine];
-            let room = self.model.kv_tokens(&card, layers);
-            let waits = self.setting.max_waiting;
-            let Some(free_at) = engines.free_at(now as f64, need.held(), room, waits) else {
+            let state = &mut self.engines[*engine];
+            let capacity = self.model.kv_tokens(&card, layers);
+            let max_waiting = self.setup.max_waiting;
+            let Some(free_at) = state.free_at(now as f64, need.held(), capacity, max_waiting)
+            else {
                 self.outcome.refused += 1;
-                let full = there.fleet.get_mut(*row).expect("engine exists");
+                let full = sender.fleet.get_mut(*key).expect("engine exists");
                 full.health.refused(clock);
                 return false;
             };
             read_at = read_at.max(free_at);
-            read_at = engines.busy_until.max(read_at + HOP_MS);
+            read_at = state.busy_until.max(read_at + HOP_MS);
             read_at += self.model.prefill_ms(&card, layers, need.prompt);
-            engines.busy_until = read_at;
+            state.busy_until = read_at;
             token_ms += self.model.step_ms(&card, layers, 10.0) + HOP_MS;
         }
-        there.fleet.begin(&rows, need.held());
-        there.fleet.begin_prefill(&rows, need.prompt);
+        sender.fleet.begin(&rows, need.held());
+        sender.fleet.begin_prefill(&rows, need.prompt);
         let first = read_at + token_ms;
         self.outcome.in_time += u32::from(first - now as f64 <= OBJECTIVE_MS);
         let end = first + token_ms * need.answer;
@@ -311,8 +316,8 @@
 
 /// Requests, tokens and waiting prompt tokens of a box on an engine.
 fn own(of: &SimulatedBox, engine: usize) -> (f64, f64, f64) {
-    let row = of.fleet.get(of.keys[engine]).expect("engine exists");
-    (f64::from(row.running), row.tokens, row.reading)
+    let state = of.fleet.get(of.keys[engine]).expect("engine exists");
+    (f64::from(state.running), state.tokens, state.reading)
 }
 
 /// A chain of engines with one kind of card and `each` layers per engine.
--- a/reachtally-core/tests/core/forward/loads.rs
+++ b/reachtally-core/tests/core/forward/loads.rs
@@ -111,21 +111,21 @@
         .expect("target exists")
         .record_slowdown(3.0, at(0));
     let reported = own_report(Incarnation(9), 2, &here, at(100));
-    let (mut there, _) = fleet([entry(0, "a", "small", 0..8)]);
+    let (mut remote, _) = fleet([entry(0, "a", "small", 0..8)]);
     let mut collector = Collector::new("north");
     collector.receive(reported, ip(9), at(100));
     collector.update_totals(at(110));
     let mut remote_loads = RemoteLoads::default();
-    remote_loads.receive(collector.all_except(Incarnation(8)), &mut there, at(110));
-    assert_eq!(first(&there).slowdown(at(120)), 3.0);
+    remote_loads.receive(collector.all_except(Incarnation(8)), &mut remote, at(110));
+    assert_eq!(first(&remote).slowdown(at(120)), 3.0);
     // The slowdown expires: locally by time, remotely with the report.
     assert!(
         own_report(Incarnation(9), 3, &here, at(3_000))
             .loads
             .is_empty()
     );
-    remote_loads.remove_expired(&mut there, at(3_000));
-    assert_eq!(first(&there).slowdown(at(3_000)), 1.0);
+    remote_loads.remove_expired(&mut remote, at(3_000));
+    assert_eq!(first(&remote).slowdown(at(3_000)), 1.0);
 }
 
 #[test]
@@ -346,21 +346,21 @@
     let health = &mut here.get_mut(keys[0]).expect("target exists").health;
     health.mark_dead(at(0));
     let mut collector = Collector::new("north");
-    let (mut there, _) = fleet([entry(0, "a", "small", 0..8)]);
+    let (mut remote, _) = fleet([entry(0, "a", "small", 0..8)]);
     let mut remote_loads = RemoteLoads::default();
     for run in 1..=2 {
         // A single box may have lost its own link.
-        remote_loads.receive(collector.all_except(Incarnation(9)), &mut there, at(100));
-        assert!(!first(&there).is_reported_unresponsive());
+        remote_loads.receive(collector.all_except(Incarnation(9)), &mut remote, at(100));
+        assert!(!first(&remote).is_reported_unresponsive());
         let reported = own_report(Incarnation(run), 1, &here, at(100));
         collector.receive(reported, ip(run), at(100));
         collector.update_totals(at(100));
     }
-    remote_loads.receive(collector.all_except(Incarnation(9)), &mut there, at(110));
-    assert!(first(&there).is_reported_unresponsive());
+    remote_loads.receive(collector.all_except(Incarnation(9)), &mut remote, at(110));
+    assert!(first(&remote).is_reported_unresponsive());
     // It expires with the reports.
-    remote_loads.remove_expired(&mut there, at(2_000));
-    assert!(!first(&there).is_reported_unresponsive());
+    remote_loads.remove_expired(&mut remote, at(2_000));
+    assert!(!first(&remote).is_reported_unresponsive());
     let health = &mut here.get_mut(keys[0]).expect("target exists").health;
     health.mark_alive(at(2_000));
     let reported = own_report(Incarnation(1), 2, &here, at(2_000));
--- a/reachtally-core/tests/core/forward/placement.rs
+++ b/reachtally-core/tests/core/forward/placement.rs
@@ -40,13 +40,15 @@
 
 /// KV tokens of all engines together for the layer that has the fewest.
 fn min_kv_tokens(model: &LayerModel, hosts: &[Host]) -> f64 {
-    let room = |layer: u32| -> f64 {
+    let kv_tokens = |layer: u32| -> f64 {
         let holders = hosts.iter().filter(|host| host.layers.contains(&layer));
         holders
             .map(|host| model.kv_tokens(&host.card, host.layers.len() as u32))
             .sum()
     };
-    (0..model.layers).map(room).fold(f64::INFINITY, f64::min)
+    (0..model.layers)
+        .map(kv_tokens)
+        .fold(f64::INFINITY, f64::min)
 }
 
 fn fleets() -> Vec<Vec<Host>> {
@@ -221,7 +223,7 @@
         running[idle] = 0.0;
         let hosts = with_a_gap(running);
         let next = moves(&model(), &hosts);
-        let first = next.first().expect("there is a gap");
+        let first = next.first().expect("a move closes the gap");
         assert_eq!(first.engine, hosts[4 + idle].engine, "{next:?}");
         assert_eq!(first.layers, 72..80);
         assert_eq!(first.give_up, GiveUp::Cut);
--- a/reachtally-core/tests/core/forward/repair.rs
+++ b/reachtally-core/tests/core/forward/repair.rs
@@ -102,9 +102,9 @@
             entry(number, if number < 8 { "a" } else { "b" }, "middle", from..from + 20)
         });
         let (mut fleet, keys) = fleet(entries);
-        let room = model().kv_tokens(&model().cards["middle"], 20);
+        let capacity = model().kv_tokens(&model().cards["middle"], 20);
         for (key, used) in keys.iter().zip(&used) {
-            fleet.begin(&[*key], used * room);
+            fleet.begin(&[*key], used * capacity);
         }
         let current = path_over(&fleet, &keys[..4]);
         let dead = named(&keys[..4], dead);
--- a/reachtally-core/tests/core/forward/shares/mod.rs
+++ b/reachtally-core/tests/core/forward/shares/mod.rs
@@ -107,11 +107,12 @@
     let mut each = vec![5.0; 10];
     each.push(50.0);
     let computed = shared(&each, 50.0);
-    let served = fraction(&computed, 10).expect("it is above the share");
+    let served = fraction(&computed, 10).expect("the account is above the share");
     assert!(served >= 0.5 * MIN_SERVED_FRACTION, "{served}");
 }
 
-/// Guards against favoring accounts that an answer leaves out, since the number of listed accounts is bounded.
+/// Guards against limiting only the listed accounts: an answer lists a bounded number of accounts, and those left out
+/// would not be limited at all.
 #[test]
 fn equal_accounts_beyond_the_listed_number_are_not_limited() {
     let even = shared(&[100.0; MAX_ACCOUNTS_PER_ANSWER + 8], 2_000.0);
@@ -220,11 +221,11 @@
         crossings.extend(aggregator.update_totals(now));
     }
     let beyond = |crossing| matches!(crossing, ShareTransition::Beyond { .. });
-    let computed = crossings
+    let reported = crossings
         .iter()
         .map(|each| (each.account, beyond(each.crossing)));
     assert!(
-        computed.eq([(account(2), true), (account(2), false)]),
+        reported.eq([(account(2), true), (account(2), false)]),
         "{crossings:?}"
     );
 }
--- a/reachtally-core/tests/core/forward/shares/play.rs
+++ b/reachtally-core/tests/core/forward/shares/play.rs
@@ -12,7 +12,7 @@
 const CAPACITY: f64 = 440.0;
 /// Requests per second of all accounts together without a flood.
 const USUAL_RATE: f64 = 400.0;
-/// Factor by which a flooding account exceeds its usual rate.
+/// Multiple of its usual rate that a flooding account sends.
 const FLOOD_FACTOR: f64 = 7.5;
 const FLOOD_MS: u64 = 3_000;
 const REPORT_MS: u64 = 200;
--- a/reachtally-core/tests/core/forward/stewardship.rs
+++ b/reachtally-core/tests/core/forward/stewardship.rs
@@ -38,11 +38,18 @@
     let mut part = Stewardship::default();
     part.grant(token(7), at(3));
     let permit = part.permit(at(1)).expect("the role is held");
-    assert!(part.superseded(permit), "the first refusal is news");
-    assert!(!part.superseded(permit), "the second one is none");
+    assert!(
+        part.superseded(permit),
+        "the first refusal ends the stewardship"
+    );
+    assert!(!part.superseded(permit), "a second refusal changes nothing");
     assert_eq!(part.permit(at(1)), None);
     part.grant(token(7), at(9));
-    assert_eq!(part.permit(at(2)), None, "the same token again");
+    assert_eq!(
+        part.permit(at(2)),
+        None,
+        "a superseded token is not accepted again"
+    );
     part.grant(token(8), at(9));
     assert_eq!(
         part.permit(at(2)).map(|permit| permit.token()),
--- a/reachtally-core/tests/core/membership.rs
+++ b/reachtally-core/tests/core/membership.rs
@@ -1,4 +1,4 @@
-//! Targets that leave, are drained or are no longer declared.
+//! Tests of targets that leave the list, are drained or are no longer declared.
 
 use std::time::Duration;
 
@@ -25,33 +25,37 @@
     fabric.engines[url].state.requests_held()
 }
 
-/// Engines of the layers `0..4`, `4..8` and `8..12`; a box that leaves is that of stage 1.
+/// Engines hold the layers `0..4`, `4..8` and `8..12`. Marks the box that serves stage 1 of the request as leaving
+/// and returns the name of its engine.
 fn leave(fabric: &mut reachtally_standin::fabric::Fabric, key: RequestKey) -> String {
-    let serving = world(fabric).serving(key, 1).expect("it runs").to_owned();
+    let serving = world(fabric)
+        .serving(key, 1)
+        .expect("request runs")
+        .to_owned();
     show(fabric, &list(&serving.replace('e', "t")));
     serving
 }
 
 #[test]
-fn a_box_that_leaves_gets_no_new_work_and_its_requests_move() {
+fn leaving_box_gets_no_new_work_and_its_requests_move() {
     let mut fabric = fabric(1);
     show(&mut fabric, &list(""));
     let running = fabric.ask(0, completion(60));
     fabric.run_for(Duration::from_millis(500));
-    let left = leave(&mut fabric, running);
+    let leaving_engine = leave(&mut fabric, running);
     let later: Vec<_> = (0..5).map(|_| fabric.ask(0, completion(30))).collect();
     fabric.run_for(Duration::from_millis(300));
-    assert_eq!(requests_at(&fabric, &format!("http://{left}")), 0);
+    assert_eq!(requests_at(&fabric, &format!("http://{leaving_engine}")), 0);
     fabric.run_for(10 * SECOND);
-    assert_whole(&fabric, running, 60);
+    assert_complete(&fabric, running, 60);
     for key in later {
-        assert_whole(&fabric, key, 30);
+        assert_complete(&fabric, key, 30);
     }
-    assert_eq!(shifts(&fabric), 1);
+    assert_eq!(stage_moves(&fabric), 1);
 }
 
 #[test]
-fn kv_is_imported_where_that_is_quicker_than_replay() {
+fn kv_is_imported_if_faster_than_replay() {
     for (kv_bytes, imports) in [(16, 1), (1 << 24, 0)] {
         let limits = Limits {
             kv_bytes,
@@ -63,14 +67,14 @@
         fabric.run_for(Duration::from_millis(500));
         leave(&mut fabric, key);
         fabric.run_for(10 * SECOND);
-        assert_whole(&fabric, key, 60);
-        assert_eq!(shifts(&fabric), 1);
+        assert_complete(&fabric, key, 60);
+        assert_eq!(stage_moves(&fabric), 1);
         assert_eq!(world(&fabric).counters.restored_by_import, imports);
     }
 }
 
 #[test]
-fn a_box_that_dies_while_its_kv_is_exported_costs_a_replay() {
+fn box_that_crashes_during_kv_export_is_replaced_by_replay() {
     let limits = Limits {
         kv_bytes: 16,
         ..Limits::default()
@@ -80,29 +84,29 @@
         show(&mut fabric, &list(""));
         let key = fabric.ask(0, completion(60));
         fabric.run_for(Duration::from_millis(500));
-        let left = leave(&mut fabric, key);
+        let leaving_engine = leave(&mut fabric, key);
         fabric.run_for(Duration::from_millis(moment));
-        let url = format!("http://{left}");
+        let url = format!("http://{leaving_engine}");
         kill(&mut fabric, &url);
         fabric.run_for(10 * SECOND);
-        assert_whole(&fabric, key, 60);
+        assert_complete(&fabric, key, 60);
     }
 }
 
 #[test]
-fn a_request_that_is_nearly_done_ends_where_it_is() {
+fn nearly_finished_request_is_not_moved() {
     let mut fabric = fabric(1);
     show(&mut fabric, &list(""));
     let key = fabric.ask(0, completion(18));
     fabric.run_for(Duration::from_millis(400));
     leave(&mut fabric, key);
     fabric.run_for(10 * SECOND);
-    assert_whole(&fabric, key, 18);
-    assert_eq!(shifts(&fabric), 0);
+    assert_complete(&fabric, key, 18);
+    assert_eq!(stage_moves(&fabric), 0);
 }
 
 #[test]
-fn a_box_the_list_lost_for_a_while_gets_work_again_when_it_is_back() {
+fn box_missing_from_the_list_gets_work_again_once_relisted() {
     let mut fabric = fabric(1);
     show(&mut fabric, &list("t00")[1..]);
     fabric.ask(0, completion(5));
@@ -117,7 +121,7 @@
 }
 
 #[test]
-fn a_drained_target_gets_no_new_work_until_it_is_undrained() {
+fn drained_target_gets_no_new_work_until_undrained() {
     let mut fabric = fabric(1);
     fabric.drain(Kind::Engine, "e00", true);
     for _ in 0..4 {
@@ -134,7 +138,7 @@
 }
 
 #[test]
-fn an_engine_removed_from_the_configuration_loses_its_requests_to_its_replica() {
+fn requests_of_an_engine_removed_from_the_configuration_move_to_its_replica() {
     let mut fabric = fabric(1);
     let key = fabric.ask(0, completion(30));
     fabric.run_for(Duration::from_millis(200));
--- a/reachtally-core/tests/core/outcomes.rs
+++ b/reachtally-core/tests/core/outcomes.rs
@@ -1,4 +1,5 @@
-//! "Not run" is true, unknown is said where it is, and refusals come at once.
+//! Tests of outcomes: requests refused as "not run" did not run, unknown outcomes are reported as such, and refusals
+//! are immediate.
 
 use reachtally_core::life::{Refusal, Unknown};
 use reachtally_core::request::Work;
@@ -15,7 +16,7 @@
 }
 
 #[test]
-fn an_unknown_model_is_refused_as_not_run() {
+fn unknown_model_is_refused_as_not_run() {
     let mut fabric = fabric(1);
     let mut ask = completion(1);
     if let Work::Completion(completion) = &mut ask.work {
@@ -29,7 +30,7 @@
 }
 
 #[test]
-fn an_account_over_its_limit_is_refused_and_another_is_served() {
+fn account_over_its_limit_is_refused_while_others_are_served() {
     let mut fabric = fabric(1);
     let mut ask = completion(5);
     ask.account = "small".to_owned();
@@ -41,18 +42,18 @@
         Some(&End::NotRun(Refusal::AccountLimit))
     );
     fabric.run_for(5 * SECOND);
-    assert_whole(&fabric, other, 5);
+    assert_complete(&fabric, other, 5);
 }
 
 #[test]
-fn without_a_live_chain_the_request_is_refused_at_once() {
+fn request_without_a_live_chain_is_refused_at_once() {
     let mut fabric = fabric(1);
     for replica in 0..2 {
         kill(&mut fabric, &engine_url(0, replica));
     }
     let key = fabric.ask(0, completion(5));
     fabric.run_for(SECOND / 10);
-    // Both engines refused the connection, so nothing ran and the chain is gone.
+    // Both engines refused the connection, so nothing ran and no chain is left.
     assert_eq!(end(&fabric, 0, key), Some(&End::NotRun(Refusal::NoTarget)));
     assert_eq!(steps_run(&fabric), 0);
     let later = fabric.ask(0, completion(5));
@@ -63,7 +64,7 @@
 }
 
 #[test]
-fn a_first_stage_that_refuses_leads_to_another_chain() {
+fn refusal_of_the_first_stage_selects_another_chain() {
     let mut fabric = fabric(1);
     for replica in 0..2 {
         let engine = fabric
@@ -75,11 +76,11 @@
     behave(&mut fabric, &engine_url(0, 1), &[]);
     let key = fabric.ask(0, completion(5));
     fabric.run_for(5 * SECOND);
-    assert_whole(&fabric, key, 5);
+    assert_complete(&fabric, key, 5);
 }
 
 #[test]
-fn a_deadline_that_passes_while_it_runs_ends_as_unknown() {
+fn deadline_during_the_run_ends_as_unknown() {
     let mut fabric = fabric(1);
     let mut ask = completion(30);
     ask.patience = SECOND / 5;
@@ -89,7 +90,7 @@
 }
 
 #[test]
-fn a_repeatable_call_is_sent_again_when_its_answer_is_lost() {
+fn repeatable_call_with_a_lost_answer_is_retried() {
     let mut fabric = fabric(1);
     for instance in 0..2 {
         let url = service_url(LOOKUP, instance);
@@ -97,7 +98,7 @@
     }
     let key = fabric.ask(0, call(LOOKUP, None, "a"));
     fabric.run_for(SECOND);
-    // Both instances lost their first answer; there is no third to try.
+    // Both instances lost their first answer, and there is no third one.
     assert_eq!(
         end(&fabric, 0, key),
         Some(&End::Unknown(Unknown::AnswerLost))
@@ -112,7 +113,7 @@
 }
 
 #[test]
-fn a_call_that_may_not_be_repeated_is_sent_once_when_its_answer_is_lost() {
+fn non_repeatable_call_with_a_lost_answer_is_sent_once() {
     let mut fabric = fabric(1);
     for instance in 0..2 {
         let url = service_url(ORDERS, instance);
@@ -128,7 +129,7 @@
 }
 
 #[test]
-fn a_call_that_never_started_is_sent_to_another_instance() {
+fn call_that_never_started_is_sent_to_another_instance() {
     let mut fabric = fabric(1);
     service(&mut fabric, &service_url(ORDERS, 0)).up = false;
     let key = fabric.ask(0, call(ORDERS, Some("k"), "a"));
@@ -141,7 +142,7 @@
 }
 
 #[test]
-fn a_call_that_no_instance_takes_is_refused_as_not_run_and_may_be_tried_again() {
+fn call_refused_by_all_instances_is_not_run_and_may_be_retried() {
     let mut fabric = fabric(1);
     for instance in 0..2 {
         service(&mut fabric, &service_url(ORDERS, instance)).up = false;
@@ -166,7 +167,7 @@
 }
 
 #[test]
-fn a_storm_of_lost_answers_is_bounded_by_the_retry_budget() {
+fn retries_of_many_lost_answers_stay_within_the_retry_budget() {
     let mut fabric = fabric(1);
     for instance in 0..2 {
         let url = service_url(LOOKUP, instance);
@@ -178,14 +179,14 @@
     }
     fabric.run_for(5 * SECOND);
     let counters = world(&fabric).counters;
-    // The first ten retries are saved up; nothing succeeds, so no more are earned.
+    // The budget starts with ten retries. No request succeeds, so no more are earned.
     assert_eq!(counters.service_retries, 10);
     assert!(counters.retries_denied > 0);
     assert!(counters.service_calls <= asked + 10);
 }
 
 #[test]
-fn a_retry_waits_a_little_and_goes_to_another_instance() {
+fn retry_is_delayed_and_goes_to_another_instance() {
     let mut fabric = fabric(1);
     let first = service_url(LOOKUP, 0);
     service(&mut fabric, &first).behave(&[Behaviour::Lose]);
--- a/reachtally-core/tests/core/setup.rs
+++ b/reachtally-core/tests/core/setup.rs
@@ -1,4 +1,4 @@
-//! A pipeline of engines, a service and an account before one or more daemons.
+//! A pipeline of engines, services and accounts, with one or more daemons.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -20,7 +20,7 @@
 pub const ORDERS: &str = "orders";
 pub const LOOKUP: &str = "lookup";
 pub const SECOND: Duration = Duration::from_secs(1);
-/// An iteration of every engine.
+/// Step time of every engine.
 pub const STEP: Duration = Duration::from_millis(10);
 
 pub fn engine_url(stage: u32, replica: u32) -> String {
@@ -31,7 +31,7 @@
     format!("http://{name}{instance}")
 }
 
-/// Three stages with two engines each, two services with two instances each.
+/// Three stages with two engines each, and two services with two instances each.
 pub fn fabric(daemons: usize) -> Fabric {
     fabric_with(daemons, &Limits::default())
 }
@@ -135,7 +135,7 @@
     }
 }
 
-/// The engine that serves stage `stage` of the only request with KV there.
+/// URL of the engine that serves `stage` of the only request with KV there.
 pub fn serving(fabric: &Fabric, stage: u32) -> String {
     let holds = |url: &String| fabric.engines[url].state.requests_held() > 0;
     let urls = [engine_url(stage, 0), engine_url(stage, 1)];
@@ -152,21 +152,22 @@
     fabric.nodes[daemon].answered[&key].end.as_ref()
 }
 
-pub fn shifts(fabric: &Fabric) -> usize {
+pub fn stage_moves(fabric: &Fabric) -> usize {
     let changes = fabric.nodes[0].changes.iter();
     let shift = |(_, change): &&(_, Change)| matches!(change, Change::StageMoved { .. });
     changes.filter(shift).count()
 }
 
-/// How often a key ran at any instance of a service.
+/// Number of runs of a key on all instances of the services.
 pub fn runs(fabric: &Fabric, key: &str) -> u32 {
     let services = fabric.services.values();
     services.filter_map(|service| service.runs.get(key)).sum()
 }
 
-/// The answer is the model's, and the ledgers show every layer once for each position, in order.
+/// Asserts that the answer equals that of the model, and that the ledgers show every layer once per position, in
+/// order.
 #[track_caller]
-pub fn assert_whole(fabric: &Fabric, key: RequestKey, tokens: u32) {
+pub fn assert_complete(fabric: &Fabric, key: RequestKey, tokens: u32) {
     let answered = &fabric.nodes[0].answered[&key];
     let Some(End::Completed {
         prompt_tokens,
@@ -183,7 +184,7 @@
     let positions = prompt_tokens + tokens - 1;
     lineage
         .check(LAYERS, positions)
-        .expect("each layer once a position");
+        .expect("each layer runs once per position");
     let world = world(fabric);
     let accepted: Vec<Accepted> = lineage
         .runs()
@@ -205,17 +206,17 @@
     assert_eq!(verify(id, LAYERS, positions, &accepted, &ledgers), []);
 }
 
-/// The engine at `url` dies.
+/// Kills the engine at `url`.
 pub fn kill(fabric: &mut Fabric, url: &str) {
     fabric.engines.get_mut(url).expect("declared").dead = true;
 }
 
-/// The engine at `url` comes back with nothing held.
+/// Restarts the engine at `url` without any state.
 pub fn revive(fabric: &mut Fabric, url: &str) {
     fabric.engines.get_mut(url).expect("declared").revive();
 }
 
-/// Let the next answers of the engine at `url` be as given.
+/// Sets the behaviour of the next answers of the engine at `url`.
 pub fn behave(fabric: &mut Fabric, url: &str, behaviours: &[Behaviour]) {
     fabric
         .engines
@@ -224,7 +225,7 @@
         .behave(behaviours);
 }
 
-/// The service instance at `url`.
+/// Returns the service instance at `url`.
 pub fn service<'a>(fabric: &'a mut Fabric, url: &str) -> &'a mut FakeService {
     fabric.services.get_mut(url).expect("declared")
 }
--- a/reachtally-core/tests/core/stages.rs
+++ b/reachtally-core/tests/core/stages.rs
@@ -1,4 +1,5 @@
-//! Stages that die, hang, slow down or answer oddly: every layer once a token, the whole answer.
+//! Tests of stages that crash, hang, slow down or answer incorrectly: each layer must run once per token, and the
+//! answer must be complete.
 
 use std::time::Duration;
 
@@ -9,22 +10,22 @@
 use crate::setup::*;
 
 const TOKENS: u32 = 30;
-/// Tokens of a request that outlives several deaths.
-const LONG: u32 = 80;
-/// Time after which about ten tokens have come.
+/// Tokens of a request that outlasts several engine crashes.
+const LONG_TOKENS: u32 = 80;
+/// Time after which about ten tokens have been generated.
 const HALF_WAY: Duration = Duration::from_millis(400);
 
 #[test]
-fn without_faults_the_answer_is_the_models() {
+fn answer_without_faults_equals_that_of_the_model() {
     let mut fabric = fabric(1);
     let key = fabric.ask(0, completion(TOKENS));
     fabric.run_for(5 * SECOND);
-    assert_whole(&fabric, key, TOKENS);
-    assert_eq!(shifts(&fabric), 0);
+    assert_complete(&fabric, key, TOKENS);
+    assert_eq!(stage_moves(&fabric), 0);
 }
 
 #[test]
-fn a_stage_that_dies_is_replaced_by_replay_of_its_own_inputs() {
+fn crashed_stage_is_restored_by_replay_of_its_inputs() {
     for stage in 0..STAGES {
         let mut fabric = fabric(1);
         let key = fabric.ask(0, completion(TOKENS));
@@ -32,14 +33,14 @@
         let url = serving(&fabric, stage);
         kill(&mut fabric, &url);
         fabric.run_for(5 * SECOND);
-        assert_whole(&fabric, key, TOKENS);
+        assert_complete(&fabric, key, TOKENS);
         assert_eq!(world(&fabric).counters.restored_by_replay, 1);
         assert_eq!(world(&fabric).counters.restored_by_prefill, 0);
     }
 }
 
 #[test]
-fn a_stage_that_dies_during_the_prompt_is_replaced() {
+fn stage_that_crashes_during_prefill_is_replaced() {
     let mut fabric = fabric(1);
     let key = fabric.ask(0, completion(TOKENS));
     fabric.run_for(Duration::from_millis(15));
@@ -54,11 +55,11 @@
         kill(&mut fabric, &engine_url(1, replica));
     }
     fabric.run_for(5 * SECOND);
-    assert_whole(&fabric, key, TOKENS);
+    assert_complete(&fabric, key, TOKENS);
 }
 
 #[test]
-fn a_stage_whose_inputs_were_not_kept_is_restored_by_prefill() {
+fn stage_without_kept_inputs_is_restored_by_prefill() {
     let limits = Limits {
         replay_bytes: 0,
         ..Limits::default()
@@ -69,13 +70,13 @@
     let url = serving(&fabric, 1);
     kill(&mut fabric, &url);
     fabric.run_for(5 * SECOND);
-    assert_whole(&fabric, key, TOKENS);
+    assert_complete(&fabric, key, TOKENS);
     assert_eq!(world(&fabric).counters.restored_by_prefill, 1);
     assert_eq!(world(&fabric).replay_buffer_bytes(), 0);
 }
 
 #[test]
-fn a_stage_that_answers_nothing_is_replaced_after_its_time_out() {
+fn silent_stage_is_replaced_after_its_timeout() {
     let mut fabric = fabric(1);
     let key = fabric.ask(0, completion(TOKENS));
     fabric.run_for(HALF_WAY);
@@ -83,12 +84,12 @@
     let silent = [Behaviour::Silent; 4];
     behave(&mut fabric, &url, &silent);
     fabric.run_for(5 * SECOND);
-    assert_whole(&fabric, key, TOKENS);
-    assert_eq!(shifts(&fabric), 1);
+    assert_complete(&fabric, key, TOKENS);
+    assert_eq!(stage_moves(&fabric), 1);
 }
 
 #[test]
-fn a_stage_at_half_its_speed_is_not_shifted() {
+fn stage_at_half_speed_is_not_moved() {
     let mut fabric = fabric(1);
     let key = fabric.ask(0, completion(TOKENS));
     fabric.run_for(HALF_WAY);
@@ -96,12 +97,12 @@
         engine.slow = 2.0;
     }
     fabric.run_for(10 * SECOND);
-    assert_whole(&fabric, key, TOKENS);
-    assert_eq!(shifts(&fabric), 0);
+    assert_complete(&fabric, key, TOKENS);
+    assert_eq!(stage_moves(&fabric), 0);
 }
 
 #[test]
-fn a_doubled_answer_is_taken_once() {
+fn duplicate_answer_is_accepted_once() {
     let mut fabric = fabric(1);
     let double = [Behaviour::Double; 40];
     for engine in fabric.engines.values_mut() {
@@ -109,7 +110,7 @@
     }
     let key = fabric.ask(0, completion(TOKENS));
     fabric.run_for(5 * SECOND);
-    assert_whole(&fabric, key, TOKENS);
+    assert_complete(&fabric, key, TOKENS);
     assert_eq!(
         world(&fabric).counters.results_dropped,
         u64::from(TOKENS * STAGES)
@@ -117,7 +118,7 @@
 }
 
 #[test]
-fn an_answer_that_comes_after_the_shift_is_dropped() {
+fn answer_after_the_stage_moved_is_dropped() {
     let mut fabric = fabric(1);
     let key = fabric.ask(0, completion(TOKENS));
     fabric.run_for(HALF_WAY);
@@ -125,25 +126,25 @@
     let late = [Behaviour::Late(Duration::from_millis(700))];
     behave(&mut fabric, &url, &late);
     fabric.run_for(5 * SECOND);
-    assert_whole(&fabric, key, TOKENS);
-    assert_eq!(shifts(&fabric), 1);
+    assert_complete(&fabric, key, TOKENS);
+    assert_eq!(stage_moves(&fabric), 1);
     assert_eq!(world(&fabric).counters.results_dropped, 1);
 }
 
 #[test]
-fn a_lost_answer_moves_the_stage_without_running_a_layer_twice_in_the_lineage() {
+fn lost_answer_moves_the_stage_without_repeating_a_layer_in_the_lineage() {
     let mut fabric = fabric(1);
     let key = fabric.ask(0, completion(TOKENS));
     fabric.run_for(HALF_WAY);
     let url = serving(&fabric, 0);
     behave(&mut fabric, &url, &[Behaviour::Lose]);
     fabric.run_for(5 * SECOND);
-    assert_whole(&fabric, key, TOKENS);
-    assert_eq!(shifts(&fabric), 1);
+    assert_complete(&fabric, key, TOKENS);
+    assert_eq!(stage_moves(&fabric), 1);
 }
 
 #[test]
-fn two_stages_that_die_at_once_are_both_replaced() {
+fn two_stages_that_crash_at_once_are_both_replaced() {
     let mut fabric = fabric(1);
     let key = fabric.ask(0, completion(TOKENS));
     fabric.run_for(HALF_WAY);
@@ -152,14 +153,14 @@
         kill(&mut fabric, &url);
     }
     fabric.run_for(5 * SECOND);
-    assert_whole(&fabric, key, TOKENS);
-    assert_eq!(shifts(&fabric), 2);
+    assert_complete(&fabric, key, TOKENS);
+    assert_eq!(stage_moves(&fabric), 2);
 }
 
 #[test]
-fn a_replacement_that_dies_too_is_replaced_by_the_first_engine_come_back() {
+fn crashed_replacement_is_replaced_by_the_restarted_first_engine() {
     let mut fabric = fabric(1);
-    let key = fabric.ask(0, completion(LONG));
+    let key = fabric.ask(0, completion(LONG_TOKENS));
     fabric.run_for(HALF_WAY);
     let first = serving(&fabric, 1);
     kill(&mut fabric, &first);
@@ -171,16 +172,21 @@
     kill(&mut fabric, &second);
     fabric.run_for(5 * SECOND);
     let answered = &fabric.nodes[0].answered[&key];
-    assert_eq!(answered.tokens.len(), LONG as usize, "{:?}", answered.end);
-    assert_eq!(shifts(&fabric), 2);
+    assert_eq!(
+        answered.tokens.len(),
+        LONG_TOKENS as usize,
+        "{:?}",
+        answered.end
+    );
+    assert_eq!(stage_moves(&fabric), 2);
 }
 
-/// What users would see: one request takes engine after engine along, each with all that runs there, for as long as its caller waits. An end
-/// was charged to the engine alone, and what the request had done was not counted.
+/// Guards against a request that crashes engine after engine, each with all of its other requests, until the caller
+/// gives up: failures were attributed only to the engine and not counted per request.
 #[test]
-fn a_step_that_engines_fall_under_one_after_the_other_ends_its_request() {
+fn step_that_crashes_several_engines_ends_its_request() {
     let mut fabric = fabric(1);
-    let key = fabric.ask(0, completion(LONG));
+    let key = fabric.ask(0, completion(LONG_TOKENS));
     fabric.run_for(HALF_WAY);
     for replica in 0..2 {
         let lost = [Behaviour::Lose; 20];
@@ -195,20 +201,20 @@
 }
 
 #[test]
-fn engines_that_are_lost_at_different_steps_are_no_fault_of_the_request() {
+fn engines_lost_at_different_steps_are_not_attributed_to_the_request() {
     let mut fabric = fabric(1);
-    let key = fabric.ask(0, completion(LONG));
+    let key = fabric.ask(0, completion(LONG_TOKENS));
     for _ in 0..5 {
         fabric.run_for(Duration::from_millis(300));
         let url = serving(&fabric, 1);
         behave(&mut fabric, &url, &[Behaviour::Lose]);
     }
     fabric.run_for(10 * SECOND);
-    assert_whole(&fabric, key, LONG);
+    assert_complete(&fabric, key, LONG_TOKENS);
 }
 
 #[test]
-fn without_any_engine_left_the_outcome_is_unknown_once_the_wait_is_over() {
+fn outcome_is_unknown_if_no_replacement_appears_in_time() {
     let limits = Limits::default();
     let mut fabric = fabric_with(1, &limits);
     let key = fabric.ask(0, completion(TOKENS));
@@ -224,12 +230,14 @@
         end(&fabric, 0, key),
         Some(&End::Unknown(Unknown::NoReplacement))
     );
-    let ended_at = fabric.nodes[0].answered[&key].ended_at.expect("it ended");
+    let ended_at = fabric.nodes[0].answered[&key]
+        .ended_at
+        .expect("request has ended");
     assert!(ended_at.since(died_at) < limits.replacement_wait + SECOND);
 }
 
 #[test]
-fn an_engine_that_comes_back_in_time_takes_the_request_up_again() {
+fn restarted_engine_resumes_the_request_in_time() {
     let mut fabric = fabric(1);
     let key = fabric.ask(0, completion(TOKENS));
     fabric.run_for(HALF_WAY);
@@ -244,7 +252,7 @@
 }
 
 #[test]
-fn a_caller_that_hangs_up_frees_every_stage() {
+fn disconnected_caller_frees_every_stage() {
     let mut fabric = fabric(1);
     let key = fabric.ask(0, completion(TOKENS));
     fabric.run_for(HALF_WAY);
@@ -261,7 +269,7 @@
 }
 
 #[test]
-fn a_slow_caller_pauses_only_its_own_request() {
+fn slow_caller_pauses_only_its_own_request() {
     let limits = Limits {
         caller_window: 4,
         ..Limits::default()
@@ -274,7 +282,7 @@
     fabric.nodes[0].callers_take = true;
     let quick = fabric.ask(0, completion(TOKENS));
     fabric.run_for(5 * SECOND);
-    assert_whole(&fabric, quick, TOKENS);
+    assert_complete(&fabric, quick, TOKENS);
     assert_eq!(fabric.nodes[0].answered[&slow].tokens.len(), 4);
     fabric.handle(
         0,
@@ -284,11 +292,11 @@
         },
     );
     fabric.run_for(5 * SECOND);
-    assert_whole(&fabric, slow, TOKENS);
+    assert_complete(&fabric, slow, TOKENS);
 }
 
 #[test]
-fn many_requests_crossing_each_other_each_get_their_own_answer() {
+fn concurrent_requests_each_get_their_own_answer() {
     let mut fabric = fabric(1);
     let keys: Vec<_> = (0..20)
         .map(|n| fabric.ask(0, completion(TOKENS + n)))
@@ -298,7 +306,7 @@
     kill(&mut fabric, &url);
     fabric.run_for(20 * SECOND);
     for (n, key) in keys.into_iter().enumerate() {
-        assert_whole(&fabric, key, TOKENS + n as u32);
+        assert_complete(&fabric, key, TOKENS + n as u32);
     }
 }
 
@@ -310,29 +318,32 @@
 }
 
 #[test]
-fn a_stage_with_a_standby_goes_on_there() {
+fn stage_with_a_standby_continues_on_it() {
     for stage in 0..STAGES {
         let mut fabric = fabric_with(1, &with_standbys());
-        let key = fabric.ask(0, completion(LONG));
+        let key = fabric.ask(0, completion(LONG_TOKENS));
         fabric.run_for(Duration::from_millis(1200));
         let serving = world(&fabric)
             .serving(key, stage as usize)
-            .expect("it runs");
+            .expect("request runs");
         let url = format!("http://{serving}");
         kill(&mut fabric, &url);
         fabric.run_for(10 * SECOND);
-        assert_whole(&fabric, key, LONG);
+        assert_complete(&fabric, key, LONG_TOKENS);
         assert_eq!(world(&fabric).counters.restored_from_standby, 1);
         assert_eq!(world(&fabric).counters.restored_by_prefill, 0);
     }
 }
 
 #[test]
-fn a_standby_that_dies_first_costs_nothing_but_its_lead() {
+fn crash_of_the_standby_before_its_stage_loses_no_output() {
     let mut fabric = fabric_with(1, &with_standbys());
-    let key = fabric.ask(0, completion(LONG));
+    let key = fabric.ask(0, completion(LONG_TOKENS));
     fabric.run_for(Duration::from_millis(1200));
-    let serving = world(&fabric).serving(key, 1).expect("it runs").to_owned();
+    let serving = world(&fabric)
+        .serving(key, 1)
+        .expect("request runs")
+        .to_owned();
     let standby = if serving == "e10" { "e11" } else { "e10" };
     let standby = format!("http://{standby}");
     kill(&mut fabric, &standby);
@@ -342,31 +353,34 @@
     let serving = format!("http://{serving}");
     kill(&mut fabric, &serving);
     fabric.run_for(10 * SECOND);
-    assert_whole(&fabric, key, LONG);
+    assert_complete(&fabric, key, LONG_TOKENS);
 }
 
 #[test]
-fn a_stage_that_dies_at_any_moment_is_replaced() {
-    // Among these moments are those at which a span is on its way to the standby.
+fn stage_that_crashes_at_any_moment_is_replaced() {
+    // Some of these moments fall while a span is being sent to the standby.
     for moment in 0..80 {
         let mut fabric = fabric_with(1, &with_standbys());
-        let key = fabric.ask(0, completion(LONG));
+        let key = fabric.ask(0, completion(LONG_TOKENS));
         fabric.run_for(Duration::from_millis(500 + 5 * moment));
-        let serving = world(&fabric).serving(key, 1).expect("it runs").to_owned();
+        let serving = world(&fabric)
+            .serving(key, 1)
+            .expect("request runs")
+            .to_owned();
         let url = format!("http://{serving}");
         kill(&mut fabric, &url);
         fabric.run_for(10 * SECOND);
-        assert_whole(&fabric, key, LONG);
-        assert_eq!(shifts(&fabric), 1);
+        assert_complete(&fabric, key, LONG_TOKENS);
+        assert_eq!(stage_moves(&fabric), 1);
     }
 }
 
 #[test]
-fn standbys_are_released_with_their_request() {
+fn standbys_are_released_at_the_end_of_their_request() {
     let mut fabric = fabric_with(1, &with_standbys());
-    let key = fabric.ask(0, completion(LONG));
+    let key = fabric.ask(0, completion(LONG_TOKENS));
     fabric.run_for(10 * SECOND);
-    assert_whole(&fabric, key, LONG);
+    assert_complete(&fabric, key, LONG_TOKENS);
     assert!(world(&fabric).counters.standby_spans > 0);
     let held = fabric
         .engines
@@ -378,36 +392,39 @@
 }
 
 #[test]
-fn engines_in_use_by_half_take_no_standby() {
+fn half_occupied_engines_accept_no_standby() {
     let mut fabric = fabric_with(1, &with_standbys());
-    // Each engine holds 64 requests, so neither of a pair holds fewer than 56 of these.
+    // Each engine holds 64 requests, so each engine of a pair holds at least 56 of these.
     for _ in 0..120 {
-        fabric.ask(0, completion(LONG));
+        fabric.ask(0, completion(LONG_TOKENS));
     }
     fabric.run_for(2 * SECOND);
     assert_eq!(world(&fabric).counters.standby_spans, 0);
 }
 
 #[test]
-fn over_the_bound_the_inputs_that_a_standby_covers_go_first() {
-    // Inputs of 64 bytes, two stages that keep them: all of them would take 11 KiB.
+fn inputs_covered_by_a_standby_are_evicted_first() {
+    // Inputs take 64 bytes and two stages keep them: all of them would take 11 KiB.
     let limits = Limits {
         replay_bytes: 6 << 10,
         ..with_standbys()
     };
     let mut fabric = fabric_with(1, &limits);
-    let key = fabric.ask(0, completion(LONG));
+    let key = fabric.ask(0, completion(LONG_TOKENS));
     fabric.run_for(Duration::from_millis(2200));
     assert!(
         world(&fabric).replay_buffer_bytes() > 0,
         "everything was dropped"
     );
     assert!(world(&fabric).replay_buffer_bytes() <= limits.replay_bytes);
-    let serving = world(&fabric).serving(key, 1).expect("it runs").to_owned();
+    let serving = world(&fabric)
+        .serving(key, 1)
+        .expect("request runs")
+        .to_owned();
     let url = format!("http://{serving}");
     kill(&mut fabric, &url);
     fabric.run_for(10 * SECOND);
-    assert_whole(&fabric, key, LONG);
+    assert_complete(&fabric, key, LONG_TOKENS);
     assert_eq!(world(&fabric).counters.restored_from_standby, 1);
     assert_eq!(world(&fabric).replay_buffer_bytes(), 0);
 }
--- a/reachtally-core/tests/core/timing.rs
+++ b/reachtally-core/tests/core/timing.rs
@@ -1,4 +1,4 @@
-//! Time-outs drawn from step times, and the retry budget.
+//! Tests of timeouts derived from step times, and of the retry budget.
 
 use std::time::Duration;
 
@@ -6,7 +6,7 @@
 use reachtally_core::retry::RetryBudget;
 
 #[test]
-fn the_time_out_follows_the_step_time_and_tolerates_half_speed() {
+fn timeout_follows_the_step_time_and_tolerates_half_speed() {
     let mut latency = Latency::default();
     let step = Duration::from_millis(100);
     for _ in 0..200 {
@@ -22,7 +22,7 @@
 }
 
 #[test]
-fn a_long_span_gets_a_longer_time_out() {
+fn longer_span_gets_a_longer_timeout() {
     let mut latency = Latency::default();
     for _ in 0..50 {
         latency.sample(Duration::from_millis(100), 1);
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn the_budget_allows_a_tenth_of_the_successes() {
+fn retry_budget_allows_a_tenth_of_the_successes() {
     let mut budget = RetryBudget::default();
     while budget.take() {}
     for _ in 0..100 {
