--- a/reachtally-core/tests/core/forward/admission.rs
+++ b/reachtally-core/tests/core/forward/admission.rs
@@ -250,7 +250,7 @@
     }
 
     /// Retries the queued requests of a box in order and sends those that are admitted.
-    fn look(&mut self, at: usize, now: u64) {
+    fn retry_queued(&mut self, at: usize, now: u64) {
         self.boxes[at].waiting.sort_by_key(|(order, _)| *order);
         for (order, req) in self.boxes[at].waiting.clone() {
             let over = req.arrived + patience(self.service.objective).as_millis() as u64;
@@ -275,7 +275,7 @@
             self.running.pop();
             self.boxes[at].own -= 1;
             self.boxes[at].pacer.ended(Instant::from_elapsed(ms(now)));
-            self.look(at, now);
+            self.retry_queued(at, now);
         }
         while self.running.len() < self.service.slots
             && let Some((req, at)) = self.waiting.pop_front()
@@ -344,7 +344,7 @@
         play.serve(now);
         if now % REPORT_MS == 0 {
             play.report(&mut reported);
-            (0..BOXES).for_each(|at| play.look(at, now));
+            (0..BOXES).for_each(|at| play.retry_queued(at, now));
         }
         while let Some(&Reverse((due, _, rank, at))) = play.returns.peek()
             && due <= now
--- a/reachtally-core/tests/core/forward/budget.rs
+++ b/reachtally-core/tests/core/forward/budget.rs
@@ -167,11 +167,11 @@
 /// went to four engines within 0.6 s, and each refused it as full.
 ///
 /// Engines had failed shortly before; the boxes, which had needed few retries until then, spent the whole share of a
-/// window at once. After the restart each run began with an empty count, while the retries of the run before were
-/// still in the window.
+/// window at once. All boxes restarted seconds later, and each run began with an empty count, while the retries of the
+/// run before were still in the window.
 ///
-/// In this simulation, 295 boxes that all know their number stay within the bound (2,065 of 2,174) if they restart 9
-/// s or more after engines begin to fail, and send 2,360, 2,655 and 2,950 retries if they restart after 6, 4 and 2 s.
+/// In this simulation, 295 boxes that all know their number stay within the bound (2,065 of 2,174) if they restart at
+/// least 9 s after engines begin to fail, and send 2,360, 2,655 and 2,950 retries if they restart after 6, 4 and 2 s.
 /// So the cause is neither the assumed number of boxes nor the request rate, but the state that a restart loses.
 #[test]
 fn retries_around_a_restart_of_all_boxes_stay_within_the_bound() {
--- a/reachtally-core/tests/core/forward/count.rs
+++ b/reachtally-core/tests/core/forward/count.rs
@@ -146,7 +146,7 @@
         domain.report(1, at(ms));
     }
     assert_eq!(domain.assumed_boxes(), [64; 64]);
-    // It crashes; the next collector receives a report of every box within one round.
+    // It crashes without a leave message; the next collector receives a report of every box within one round.
     for ms in (5_000..6_000).step_by(200) {
         domain.report(2, at(ms));
         assert_eq!(domain.assumed_boxes(), [64; 64], "after {ms} ms");
--- a/reachtally-core/tests/core/forward/notice.rs
+++ b/reachtally-core/tests/core/forward/notice.rs
@@ -161,12 +161,12 @@
         entry(2, "a", "large", 0..40),
     ]);
     let serves = |now| now >= at(7_000);
-    let returning = |fleet: &Fleet| earliest_after_back_off(fleet, SERVICE, at(0), serves);
-    assert_eq!(returning(&fleet), None);
+    let earliest_end = |fleet: &Fleet| earliest_after_back_off(fleet, SERVICE, at(0), serves);
+    assert_eq!(earliest_end(&fleet), None);
     request_back_off(&mut fleet, &entry(0, "a", "large", 0..40).run(), at(5_000));
-    assert_eq!(returning(&fleet), None);
+    assert_eq!(earliest_end(&fleet), None);
     request_back_off(&mut fleet, &entry(2, "a", "large", 0..40).run(), at(8_000));
-    assert_eq!(returning(&fleet), Some(at(8_000)));
+    assert_eq!(earliest_end(&fleet), Some(at(8_000)));
     // If a request can be served at once, back-off is not the reason.
     assert_eq!(
         earliest_after_back_off(&fleet, SERVICE, at(0), |_| true),
--- a/reachtally-core/tests/core/forward/placement.rs
+++ b/reachtally-core/tests/core/forward/placement.rs
@@ -234,7 +234,7 @@
 fn move_that_only_adds_capacity_waits_for_running_requests() {
     let mut hosts = with_a_gap([0.0; 3]);
     hosts[6].layers = 72..80;
-    // Too few tokens for the requests that the other layers could run.
+    // Far too few tokens for the requests that the other layers could run.
     hosts[3].layers = 60..80;
     let next = moves(&model(), &hosts);
     assert!(!next.is_empty());
--- a/reachtally-core/tests/core/forward/quarantine.rs
+++ b/reachtally-core/tests/core/forward/quarantine.rs
@@ -33,10 +33,10 @@
 }
 
 /// A table with these crashes recorded at time 0.
-fn table_with(ends: &[CrashRecord]) -> Quarantine {
+fn table_with(crashes: &[CrashRecord]) -> Quarantine {
     let mut table = Quarantine::default();
-    for end in ends {
-        table.record_crash(REQUEST, ACCOUNT, *end, at(0));
+    for crash in crashes {
+        table.record_crash(REQUEST, ACCOUNT, *crash, at(0));
     }
     table
 }
@@ -49,11 +49,11 @@
 
 fn exchange(from: &Quarantine, to: &mut Quarantine, now: Instant) -> bool {
     let reports = from.changes(ChangeOrigin::Any, now);
-    let news: Vec<bool> = reports
+    let has_changed: Vec<bool> = reports
         .iter()
         .map(|reports| to.receive(reports, now))
         .collect();
-    news.contains(&true)
+    has_changed.contains(&true)
 }
 
 #[test]
