--- a/reachtally-bench/src/admission/ways.rs
+++ b/reachtally-bench/src/admission/ways.rs
@@ -127,7 +127,9 @@
                     mix: &self.mix.fractions(),
                     objective,
                     waited: case.waited,
-                    pace: self.pacer.look(used, case.running, REACTION, case.now),
+                    pace: self
+                        .pacer
+                        .update_pace(used, case.running, REACTION, case.now),
                     ahead: self.queue.ahead(SERVICE, position, case.place.as_ref()),
                 };
                 admit(class, offer, &cx)
--- a/reachtally-core/src/forward/admission/pacer.rs
+++ b/reachtally-core/src/forward/admission/pacer.rs
@@ -84,7 +84,13 @@
 
     /// Updates the token bucket and returns the pace at `now`, given the estimated utilization
     /// `used`.
-    pub fn look(&mut self, used: f64, running: Running, reaction: Duration, now: Instant) -> Pace {
+    pub fn update_pace(
+        &mut self,
+        used: f64,
+        running: Running,
+        reaction: Duration,
+        now: Instant,
+    ) -> Pace {
         let used = if used.is_nan() { 1.0 } else { used }.clamp(MIN_UTILIZATION, 2.0);
         let equal_share = running.all / f64::from(running.boxes.max(1));
         // This box's share of the capacity, in requests.
--- a/reachtally-core/src/forward/shares/aggregator.rs
+++ b/reachtally-core/src/forward/shares/aggregator.rs
@@ -244,12 +244,12 @@
         let is_recent = |at: Instant| now.since(at) < AGGREGATION_INTERVAL;
         match self.aggregated_at.is_some_and(is_recent) {
             true => Vec::new(),
-            false => self.sum_up_now(now),
+            false => self.update_totals_now(now),
         }
     }
 
     /// Like [`Aggregator::update_totals`], but regardless of the age of the shares.
-    pub fn sum_up_now(&mut self, now: Instant) -> Vec<ShareChange> {
+    pub fn update_totals_now(&mut self, now: Instant) -> Vec<ShareChange> {
         self.aggregated_at = Some(now);
         self.senders.retain(|_, sender| {
             sender.services.retain(|_, received| received.is_valid(now));
--- a/reachtally-core/tests/core/forward/admission.rs
+++ b/reachtally-core/tests/core/forward/admission.rs
@@ -156,7 +156,7 @@
             boxes: BOXES as u32,
         };
         let ahead = each.queue.ahead("s", usize::from(req.rank), order);
-        let pace = each.pacer.look(
+        let pace = each.pacer.update_pace(
             offer.used,
             running,
             REACTION,
@@ -500,7 +500,7 @@
         let found = Instance { engine: EngineKey::default(), used: slots_used };
         instance_offer(&found, held, objective);
         let mut pacer = Pacer::default();
-        let paced = pacer.look(slots_used, Running { own, all, boxes }, reaction, at(5));
+        let paced = pacer.update_pace(slots_used, Running { own, all, boxes }, reaction, at(5));
         pacer.admitted();
         prop_assert!(paced.burst >= 1.0 && paced.burst.is_finite(), "{paced:?}");
         let after = RetrySchedule::default().next(held, paced.rate, objective, 7, at(5));
--- a/reachtally-core/tests/core/forward/shares/mod.rs
+++ b/reachtally-core/tests/core/forward/shares/mod.rs
@@ -148,7 +148,7 @@
     aggregator.update_totals(at(20));
     assert_eq!(aggregator.own_rates()[0].offered.per_second(), 100.0);
     aggregator.leave(Incarnation(2));
-    aggregator.sum_up_now(at(30));
+    aggregator.update_totals_now(at(30));
     assert_eq!(aggregator.own_rates(), []);
 }
 
@@ -163,7 +163,7 @@
             ip(2),
             at(0),
         );
-        aggregator.sum_up_now(at(0));
+        aggregator.update_totals_now(at(0));
         let computed = &aggregator.shares()[0];
         assert_eq!((fraction(computed, 0), fraction(computed, 1)), (None, None));
         assert!(
@@ -173,7 +173,7 @@
                 .all(|each| each.fraction.is_finite())
         );
         aggregator.update(rates(1, 2, &[20.0, 20.0, 90.0], 80.0), ip(1), at(1_000));
-        aggregator.sum_up_now(at(1_600));
+        aggregator.update_totals_now(at(1_600));
         assert!(fraction(&aggregator.shares()[0], 2).is_some(), "{corrupt}");
     }
 }
--- a/reachtally-core/tests/core/stages.rs
+++ b/reachtally-core/tests/core/stages.rs
@@ -275,11 +275,11 @@
         ..Limits::default()
     };
     let mut fabric = fabric_with(1, &limits);
-    fabric.nodes[0].callers_take = false;
+    fabric.nodes[0].callers_read = false;
     let slow = fabric.ask(0, completion(TOKENS));
     fabric.run_for(3 * SECOND);
     assert_eq!(fabric.nodes[0].answered[&slow].tokens.len(), 4);
-    fabric.nodes[0].callers_take = true;
+    fabric.nodes[0].callers_read = true;
     let quick = fabric.ask(0, completion(TOKENS));
     fabric.run_for(5 * SECOND);
     assert_complete(&fabric, quick, TOKENS);
--- a/reachtally-relay/src/admission.rs
+++ b/reachtally-relay/src/admission.rs
@@ -316,7 +316,7 @@
         let now = self.now();
         let running = self.running(service);
         let (mix, pace) = self.admission.with_service(service, |state| {
-            let pace = state.pacer.look(offer.used, running, REACTION, now);
+            let pace = state.pacer.update_pace(offer.used, running, REACTION, now);
             (state.mix.fractions(), pace)
         });
         let queue = self.admission.queue.borrow();
--- a/reachtally-relay/src/gossip/shares.rs
+++ b/reachtally-relay/src/gossip/shares.rs
@@ -82,7 +82,7 @@
         let now = self.relay.now();
         let is_new = self.shares.aggregator.update(rates, from, now);
         if is_new {
-            let changes = self.shares.aggregator.sum_up_now(now);
+            let changes = self.shares.aggregator.update_totals_now(now);
             self.relay.log_crossings(&changes);
         }
         is_new
--- a/reachtally-standin/src/fabric/node.rs
+++ b/reachtally-standin/src/fabric/node.rs
@@ -63,7 +63,7 @@
     /// Its changes of state, with the time of each.
     pub changes: Vec<(Instant, Change)>,
     /// Whether its callers take every token at once; else tests report what was taken.
-    pub callers_take: bool,
+    pub callers_read: bool,
     /// It does nothing before this.
     pub paused_until: Instant,
     pub(super) read: Offsets,
@@ -76,7 +76,7 @@
             world: World::new(incarnation, seed, limits.clone()),
             answered: BTreeMap::new(),
             changes: Vec::new(),
-            callers_take: true,
+            callers_read: true,
             paused_until: Instant::ZERO,
             read: Offsets::default(),
             effects: Effects::default(),
@@ -143,7 +143,7 @@
         );
         answered.tokens.push(text);
         answered.times.push(now);
-        if self.callers_take {
+        if self.callers_read {
             let event = Event::Consumed { request, tokens: 1 };
             self.world.handle(event, now, &mut self.effects);
         }
