--- a/reachtally-daemon/src/actor.rs
+++ b/reachtally-daemon/src/actor.rs
@@ -1,4 +1,4 @@
-//! The task that owns the world: events in, effects out.
+//! The task that owns the world. It applies events and executes the resulting effects.
 
 use std::collections::{HashMap, VecDeque};
 
@@ -19,71 +19,71 @@
 use crate::perform::Performer;
 use crate::view::{Readiness, View};
 
-/// Messages taken before the world ticks.
+/// Maximum messages handled between two ticks of the world.
 const MESSAGES_PER_TICK: usize = 512;
-/// Ended requests remembered for operators.
-const ENDED_MAX: usize = 1024;
+/// Number of ended requests kept for operator queries.
+const MAX_ENDED: usize = 1024;
 
-/// A part of a request's answer.
+/// An event of a request's response.
 #[derive(Debug)]
-pub enum Piece {
-    /// A token.
+pub enum ResponseEvent {
+    /// A generated token.
     Token {
-        /// Its text.
+        /// Text of the token.
         text: String,
     },
-    /// The end; nothing follows.
+    /// The end of the response. No events follow.
     End(Finish),
 }
 
-/// A request that was taken.
+/// Identifies a request that the world has accepted.
 #[derive(Debug)]
-pub struct Taken {
-    /// Its row.
+pub struct AcceptedRequest {
+    /// Key of its row in the world.
     pub key: RequestKey,
-    /// Its identity.
+    /// Globally unique id.
     pub id: RequestId,
 }
 
-/// What the task is told.
+/// A message to the actor.
 #[derive(Debug)]
 pub enum Message {
-    /// A caller asks.
+    /// A caller's request.
     NewRequest {
-        /// What for.
-        ask: NewRequest,
-        /// Takes the answer's parts.
-        pieces: mpsc::UnboundedSender<Piece>,
-        /// Told the row.
-        taken: oneshot::Sender<Taken>,
+        /// The request.
+        request: NewRequest,
+        /// Receives the response.
+        events: mpsc::UnboundedSender<ResponseEvent>,
+        /// Receives the request's key and id.
+        accepted: oneshot::Sender<AcceptedRequest>,
     },
-    /// Something happened.
+    /// An event for the world.
     Event(Event),
-    /// Compute something from the world.
+    /// A query against the world.
     Query {
-        /// What to show.
+        /// The query.
         query: Query,
-        /// Takes the answer.
+        /// Receives the result.
         answer: oneshot::Sender<Answer>,
     },
-    /// The daemon prepares to stop: it shows itself as not ready.
+    /// Prepares shutdown: the daemon reports not ready.
     PrepareStop,
-    /// Tell when no request is left.
-    WhenIdle(oneshot::Sender<()>),
+    /// Notifies the sender once no requests are left.
+    NotifyIdle(oneshot::Sender<()>),
 }
 
-/// Something that operators ask of the world.
+/// A query against the world.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Query {
-    /// A table of one of the language's subjects.
+    /// A table for a subject of the command language.
     Show(reachtally_command::Subject),
-    /// Requests that ended lately.
+    /// Recently ended requests.
     Ended,
     /// The counters.
     Counters,
     /// The configuration.
     Config,
-    /// What a daemon that has folded the records below this offset lacks.
+    /// The configuration records from this offset on, for another daemon.
     ConfigFor(u64),
 }
 
@@ -98,14 +98,14 @@
     Counters(Box<Counters>),
     /// The configuration.
     Config(Box<reachtally_core::fold::Config>),
-    /// Records or a snapshot.
+    /// Configuration records or a snapshot.
     PeerConfig(PeerConfig),
 }
 
-/// Sends messages to the task.
+/// Sends messages to the actor.
 pub type Handle = mpsc::UnboundedSender<Message>;
 
-/// Everything the task owns.
+/// The state that the task owns.
 pub struct Actor {
     world: World,
     clock: Clock,
@@ -114,26 +114,26 @@
     view: watch::Sender<View>,
     counters: watch::Sender<Counters>,
     reader: watch::Sender<bool>,
-    callers: HashMap<RequestKey, mpsc::UnboundedSender<Piece>>,
+    callers: HashMap<RequestKey, mpsc::UnboundedSender<ResponseEvent>>,
     ended: VecDeque<Ended>,
     config_read: bool,
     stopping: bool,
-    waiting_idle: Vec<oneshot::Sender<()>>,
+    idle_waiters: Vec<oneshot::Sender<()>>,
     effects: Effects,
 }
 
-/// Where the task publishes what others watch.
+/// Watch channels on which the actor publishes its state.
 pub struct Published {
     /// The view for the listeners.
     pub view: watch::Sender<View>,
     /// The counters.
     pub counters: watch::Sender<Counters>,
-    /// Whether this daemon is to follow the log closely.
+    /// Whether this daemon is a reader of its failure domain, which follows the log continuously.
     pub reader: watch::Sender<bool>,
 }
 
 impl Actor {
-    /// An actor over `world`, whose time is that of `clock`.
+    /// Creates an actor that owns `world` and reads the time from `clock`.
     pub fn new(
         world: World,
         clock: Clock,
@@ -153,34 +153,34 @@
             ended: VecDeque::new(),
             config_read: false,
             stopping: false,
-            waiting_idle: Vec::new(),
+            idle_waiters: Vec::new(),
             effects: Effects::default(),
         }
     }
 
-    /// Run until every handle is gone.
+    /// Runs until all handles are dropped.
     pub async fn run(mut self) {
         let mut messages = Vec::with_capacity(MESSAGES_PER_TICK);
         loop {
             let due = self.world.next_due();
             let wake = due.map(|at| self.clock.timer(at));
             tokio::select! {
-                taken = self.rx.recv_many(&mut messages, MESSAGES_PER_TICK) => {
-                    if taken == 0 {
+                received = self.rx.recv_many(&mut messages, MESSAGES_PER_TICK) => {
+                    if received == 0 {
                         return;
                     }
                 }
                 () = sleep_until(wake) => {}
             }
             for message in messages.drain(..) {
-                self.take(message);
+                self.handle_message(message);
             }
             let now = self.now();
             self.world.tick(now, &mut self.effects);
             self.perform();
             self.counters.send_replace(self.world.counters);
             self.publish_reader();
-            self.tell_idle();
+            self.notify_idle();
         }
     }
 
@@ -188,36 +188,40 @@
         self.clock.now()
     }
 
-    fn take(&mut self, message: Message) {
+    fn handle_message(&mut self, message: Message) {
         let now = self.now();
         match message {
-            Message::NewRequest { ask, pieces, taken } => {
-                let key = self.world.ask(ask, now, &mut self.effects);
+            Message::NewRequest {
+                request,
+                events,
+                accepted,
+            } => {
+                let key = self.world.ask(request, now, &mut self.effects);
                 let id = RequestId::new(self.world.incarnation, key);
-                self.callers.insert(key, pieces);
-                // A caller that is gone already shows when its stream is dropped.
-                taken.send(Taken { key, id }).ok();
+                self.callers.insert(key, events);
+                // If the caller has already disconnected, dropping its stream reports that.
+                accepted.send(AcceptedRequest { key, id }).ok();
                 self.perform();
             }
             Message::Event(event) => {
-                let configured = matches!(event, Event::ConfigRead(_) | Event::PeerConfig(_));
-                let shown = matches!(event, Event::ClaimsCaughtUp | Event::ClaimsGap);
+                let config_changed = matches!(event, Event::ConfigRead(_) | Event::PeerConfig(_));
+                let claims_changed = matches!(event, Event::ClaimsCaughtUp | Event::ClaimsGap);
                 self.world.handle(event, now, &mut self.effects);
                 self.perform();
-                self.config_read |= configured;
-                if configured || shown {
+                self.config_read |= config_changed;
+                if config_changed || claims_changed {
                     self.publish_view();
                 }
             }
             Message::Query { query, answer } => {
-                // An operator who hung up needs no answer.
+                // The operator may have disconnected.
                 answer.send(self.answer(&query)).ok();
             }
             Message::PrepareStop => {
                 self.stopping = true;
                 self.publish_view();
             }
-            Message::WhenIdle(tx) => self.waiting_idle.push(tx),
+            Message::NotifyIdle(tx) => self.idle_waiters.push(tx),
         }
     }
 
@@ -235,14 +239,14 @@
     fn publish_reader(&mut self) {
         let reader = self.world.is_reader();
         self.reader
-            .send_if_modified(|known| std::mem::replace(known, reader) != reader);
+            .send_if_modified(|current| std::mem::replace(current, reader) != reader);
     }
 
-    fn tell_idle(&mut self) {
-        if self.waiting_idle.is_empty() || !self.world.is_idle() {
+    fn notify_idle(&mut self) {
+        if self.idle_waiters.is_empty() || !self.world.is_idle() {
             return;
         }
-        for tx in self.waiting_idle.drain(..) {
+        for tx in self.idle_waiters.drain(..) {
             tx.send(()).ok();
         }
     }
@@ -258,12 +262,12 @@
     fn perform_one(&mut self, effect: Effect) {
         match effect {
             Effect::Deliver { request, text, .. } => {
-                if let Some(pieces) = self.callers.get(&request) {
-                    // A stream that is gone sends a hang-up of its own.
-                    pieces.send(Piece::Token { text }).ok();
+                if let Some(events) = self.callers.get(&request) {
+                    // A dropped stream reports the disconnect itself.
+                    events.send(ResponseEvent::Token { text }).ok();
                 }
             }
-            Effect::Finish { request, finish } => self.end(request, finish),
+            Effect::Finish { request, finish } => self.finish_request(request, finish),
             Effect::Changed(change) => log_change(&change),
             Effect::Steps {
                 call,
@@ -310,7 +314,7 @@
             Effect::WriteSnapshot(config) => self.performer.write_snapshot(&config),
             Effect::RequestReport { target } => {
                 let url = self.url(target);
-                self.performer.ask_report(target, url);
+                self.performer.request_report(target, url);
             }
             Effect::Order {
                 target,
@@ -319,7 +323,7 @@
             } => {
                 let row = self.world.targets.get(target);
                 let name = row.map_or("", |row| row.name.as_str());
-                info!(target_name = name, fence, order:? = order; "order given");
+                info!(target_name = name, fence, order:? = order; "order sent");
                 let url = self.url(target);
                 self.performer.order(url, fence, order);
             }
@@ -331,15 +335,15 @@
         row.map_or_else(String::new, |row| row.url.clone())
     }
 
-    fn end(&mut self, request: RequestKey, finish: Finish) {
+    fn finish_request(&mut self, request: RequestKey, finish: Finish) {
         let id = RequestId::new(self.world.incarnation, request);
         let ended = describe(&self.world, id, &finish);
-        if self.ended.len() == ENDED_MAX {
+        if self.ended.len() == MAX_ENDED {
             self.ended.pop_front();
         }
         self.ended.push_back(ended);
-        if let Some(pieces) = self.callers.remove(&request) {
-            pieces.send(Piece::End(finish)).ok();
+        if let Some(events) = self.callers.remove(&request) {
+            events.send(ResponseEvent::End(finish)).ok();
         }
     }
 
--- a/reachtally-daemon/src/caller/answer.rs
+++ b/reachtally-daemon/src/caller/answer.rs
@@ -1,4 +1,4 @@
-//! Final answers: the outcome header, and one clear error for each failure.
+//! Final responses: the outcome header, and the error body of each failure.
 
 use std::time::Duration;
 
@@ -9,25 +9,25 @@
 use rocket::response::{self, Responder, Response};
 use serde::Serialize;
 
-/// The header that tells whether the request ran.
+/// Response header with the [`Outcome`] of the request.
 pub const OUTCOME_HEADER: &str = "Reachtally-Outcome";
-/// The header that names the request.
+/// Response header with the id of the request.
 pub const REQUEST_HEADER: &str = "Reachtally-Request";
 
-/// Whether a request ran.
+/// Whether a request was executed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Outcome {
-    /// The whole answer is here.
+    /// The request was executed, and the response is complete.
     Completed,
-    /// Nothing of it ran.
+    /// No part of the request was executed.
     NotRun,
-    /// It may have run.
+    /// The request may have been executed.
     Unknown,
 }
 
 impl Outcome {
-    /// The value of the header.
+    /// Value of the outcome header.
     pub fn name(self) -> &'static str {
         match self {
             Outcome::Completed => "completed",
@@ -37,28 +37,28 @@
     }
 }
 
-/// Something wrong in a request's body.
+/// An error in a request's body.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 pub struct BodyFinding {
-    /// Where, as a JSON pointer, or line and column for text that is no JSON.
+    /// Location as a JSON pointer, or as line and column if the body is not valid JSON.
     pub place: String,
-    /// What is wrong.
+    /// Description of the error.
     pub message: String,
 }
 
-/// The error part of a failure's body.
+/// The `error` object in a failure's body.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 pub struct ErrorBody {
     /// Machine-readable code.
     pub code: &'static str,
-    /// What happened, in a sentence.
+    /// Description of the failure.
     pub message: String,
-    /// What is wrong in the body, if that is the failure.
+    /// Errors in the body, if the body was invalid.
     #[serde(skip_serializing_if = "Vec::is_empty")]
     pub findings: Vec<BodyFinding>,
 }
 
-/// A failure as the caller sees it.
+/// An error response to a caller.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Failure {
     status: Status,
@@ -93,38 +93,38 @@
         Failure::not_run(Status::Unauthorized, "key-missing", message)
     }
 
-    /// The key belongs to no account.
+    /// The key does not belong to an account.
     pub fn key_wrong() -> Self {
         let message = "the key belongs to no account";
         Failure::not_run(Status::Unauthorized, "key-wrong", message)
     }
 
-    /// The daemon can't serve yet, or no longer.
+    /// The daemon is starting or shutting down.
     pub fn not_ready(message: &str) -> Self {
         let mut failure = Failure::not_run(Status::ServiceUnavailable, "not-ready", message);
         failure.retry_after = Some(Duration::from_secs(1));
         failure
     }
 
-    /// No such route, or a method it does not take.
+    /// The route does not exist or does not support the method.
     pub fn no_route(status: Status) -> Self {
         let message = status.reason().unwrap_or("the request can't be served");
         Failure::not_run(status, "no-route", message)
     }
 
-    /// The body is longer than allowed.
-    pub fn body_too_long(most: u64) -> Self {
-        let message = format!("the body is longer than {most} bytes");
+    /// The body exceeds the size limit.
+    pub fn body_too_long(max_bytes: u64) -> Self {
+        let message = format!("the body is longer than {max_bytes} bytes");
         Failure::not_run(Status::PayloadTooLarge, "body-too-long", message)
     }
 
     /// The body could not be read to its end.
-    pub fn body_cut() -> Self {
+    pub fn body_truncated() -> Self {
         let message = "the body could not be read to its end";
         Failure::not_run(Status::BadRequest, "body-cut", message)
     }
 
-    /// The body is not what the route takes.
+    /// The body is not a valid request for the route.
     pub fn bad_body(findings: Vec<BodyFinding>) -> Self {
         let message = "the body is not a valid request; see the findings";
         let mut failure = Failure::not_run(Status::BadRequest, "bad-body", message);
@@ -132,12 +132,12 @@
         failure
     }
 
-    /// The header with the idempotency key is not usable.
+    /// The idempotency key is invalid.
     pub fn bad_key(message: &str) -> Self {
         Failure::not_run(Status::BadRequest, "bad-idempotency-key", message)
     }
 
-    /// The request was refused before it ran.
+    /// The request was refused before it was executed.
     pub fn of_not_run(not_run: &NotRun) -> Self {
         let (status, code, message) = describe_refusal(not_run.refusal());
         let mut failure = Failure::not_run(status, code, message);
@@ -160,7 +160,7 @@
             error: &self.error,
             outcome: self.outcome,
         };
-        // A body of plain texts always serializes.
+        // A body of strings always serializes.
         serde_json::to_string(&body).unwrap_or_default()
     }
 }
@@ -290,15 +290,15 @@
     }
 }
 
-/// A whole answer with its outcome.
-pub struct Whole {
-    /// The request's name.
+/// A complete response with its outcome.
+pub struct CompleteAnswer {
+    /// Id of the request.
     pub id: String,
-    /// The answer.
+    /// Status, content type and body.
     pub answer: Answer,
 }
 
-impl<'r> Responder<'r, 'static> for Whole {
+impl<'r> Responder<'r, 'static> for CompleteAnswer {
     fn respond_to(self, _: &'r Request<'_>) -> response::Result<'static> {
         let body = self.answer.body;
         let mut response = Response::build();
--- a/reachtally-daemon/src/caller/auth.rs
+++ b/reachtally-daemon/src/caller/auth.rs
@@ -1,4 +1,4 @@
-//! Which account a caller is.
+//! Authentication of callers.
 
 use reachtally_core::declare::Account;
 use rocket::http::Status;
@@ -8,7 +8,7 @@
 use crate::caller::Shared;
 use crate::caller::answer::Failure;
 
-/// The scheme of the `Authorization` header.
+/// Prefix of the `Authorization` header.
 const SCHEME: &str = "Bearer ";
 
 /// A caller with a valid key.
@@ -34,7 +34,7 @@
         .and_then(|value| value.strip_prefix(SCHEME))
         .ok_or_else(Failure::key_missing)?;
     let view = shared.view.borrow();
-    let account = view.account_of_key(key).ok_or_else(Failure::key_wrong)?;
+    let account = view.account_for_key(key).ok_or_else(Failure::key_wrong)?;
     Ok(Caller {
         account: account.clone(),
     })
--- a/reachtally-daemon/src/caller/body.rs
+++ b/reachtally-daemon/src/caller/body.rs
@@ -1,4 +1,4 @@
-//! Reading and checking the bodies of completion requests. Every finding is collected with its place.
+//! Reading and validation of completion request bodies. All findings are collected with their location.
 
 use reachtally_core::request::Completion;
 use rocket::data::{Data, ToByteUnit};
@@ -6,59 +6,59 @@
 
 use crate::caller::answer::{BodyFinding, Failure};
 
-/// Tokens generated where the caller gives no limit.
-const MAX_TOKENS_DEFAULT: u64 = 16;
-/// The highest limit a caller may give.
-const MAX_TOKENS_MOST: u64 = 1 << 16;
+/// Default of `max_tokens`.
+const DEFAULT_MAX_TOKENS: u64 = 16;
+/// Highest permitted value of `max_tokens`.
+const MAX_TOKENS_LIMIT: u64 = 1 << 16;
 
-/// A completion request's body.
+/// The decoded body of a completion request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct CompletionBody {
-    /// What to generate.
+    /// The completion to generate.
     pub completion: Completion,
-    /// Whether to stream.
+    /// Whether to stream the response.
     pub stream: bool,
 }
 
-/// Which route the body is for.
+/// The API endpoint that a body is sent to.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Form {
-    /// `prompt` is a text.
+pub enum Endpoint {
+    /// `/v1/completions`, with a string `prompt`.
     Text,
-    /// `messages` is a list of messages.
+    /// `/v1/chat/completions`, with a list of `messages`.
     Chat,
 }
 
-/// Read a body of at most `most` bytes.
+/// Reads a body of at most `max_bytes` bytes.
 ///
 /// # Errors
-/// A failure if it is longer or breaks off.
-pub async fn read(data: Data<'_>, most: u64) -> Result<Vec<u8>, Failure> {
-    let capped = data.open(most.bytes()).into_bytes().await;
-    let capped = capped.map_err(|_| Failure::body_cut())?;
+/// A failure if the body is longer or cannot be read to its end.
+pub async fn read(data: Data<'_>, max_bytes: u64) -> Result<Vec<u8>, Failure> {
+    let capped = data.open(max_bytes.bytes()).into_bytes().await;
+    let capped = capped.map_err(|_| Failure::body_truncated())?;
     if !capped.is_complete() {
-        return Err(Failure::body_too_long(most));
+        return Err(Failure::body_too_long(max_bytes));
     }
     Ok(capped.into_inner())
 }
 
-/// Check a completion request's body.
+/// Validates and decodes the body of a completion request.
 ///
 /// # Errors
 /// All findings.
-pub fn check(bytes: &[u8], form: Form) -> Result<CompletionBody, Vec<BodyFinding>> {
+pub fn validate(bytes: &[u8], endpoint: Endpoint) -> Result<CompletionBody, Vec<BodyFinding>> {
     let value: Value = serde_json::from_slice(bytes).map_err(|err| vec![not_json(&err)])?;
     let Value::Object(fields) = value else {
         return Err(vec![finding("", "give a JSON object")]);
     };
-    let mut check = Check {
+    let mut validator = Validator {
         fields,
         findings: Vec::new(),
     };
-    let body = check.body(form);
+    let body = validator.body(endpoint);
     match body {
-        Some(body) if check.findings.is_empty() => Ok(body),
-        _ => Err(check.findings),
+        Some(body) if validator.findings.is_empty() => Ok(body),
+        _ => Err(validator.findings),
     }
 }
 
@@ -76,17 +76,18 @@
     }
 }
 
-struct Check {
+/// Consumes known fields and collects findings.
+struct Validator {
     fields: Map<String, Value>,
     findings: Vec<BodyFinding>,
 }
 
-impl Check {
-    fn body(&mut self, form: Form) -> Option<CompletionBody> {
+impl Validator {
+    fn body(&mut self, endpoint: Endpoint) -> Option<CompletionBody> {
         let model = self.text("model");
-        let prompt = match form {
-            Form::Text => self.text("prompt"),
-            Form::Chat => self.messages(),
+        let prompt = match endpoint {
+            Endpoint::Text => self.text("prompt"),
+            Endpoint::Chat => self.messages(),
         };
         let max_tokens = self.max_tokens();
         let stream = self.flag("stream");
@@ -135,23 +136,23 @@
     }
 
     fn max_tokens(&mut self) -> u32 {
-        let newer = self.fields.remove("max_completion_tokens");
-        let given = self.fields.remove("max_tokens").or(newer);
-        let number = match given {
-            None | Some(Value::Null) => Some(MAX_TOKENS_DEFAULT),
+        let max_completion_tokens = self.fields.remove("max_completion_tokens");
+        let value = self.fields.remove("max_tokens").or(max_completion_tokens);
+        let number = match value {
+            None | Some(Value::Null) => Some(DEFAULT_MAX_TOKENS),
             Some(value) => value.as_u64(),
         };
         match number {
-            Some(number) if (1..=MAX_TOKENS_MOST).contains(&number) => number as u32,
+            Some(number) if (1..=MAX_TOKENS_LIMIT).contains(&number) => number as u32,
             _ => {
-                let message = format!("give a whole number from 1 to {MAX_TOKENS_MOST}");
+                let message = format!("give a whole number from 1 to {MAX_TOKENS_LIMIT}");
                 self.report("max_tokens", &message);
                 0
             }
         }
     }
 
-    /// The messages as one prompt: a line for each, `role: content`.
+    /// Joins the messages into one prompt, with a line `role: content` for each.
     fn messages(&mut self) -> Option<String> {
         let messages = match self.fields.remove("messages") {
             Some(Value::Array(messages)) if !messages.is_empty() => messages,
--- a/reachtally-daemon/src/caller/completions.rs
+++ b/reachtally-daemon/src/caller/completions.rs
@@ -1,4 +1,4 @@
-//! The completion routes, whole or as server-sent events.
+//! The completion routes. Responses are sent as one JSON body or as server-sent events.
 
 use std::convert::Infallible;
 
@@ -15,19 +15,19 @@
 use rocket::{State, post};
 use serde::Serialize;
 
-use crate::actor::Piece;
+use crate::actor::ResponseEvent;
 use crate::caller::Shared;
-use crate::caller::answer::{Failure, Outcome, REQUEST_HEADER, Whole};
+use crate::caller::answer::{CompleteAnswer, Failure, Outcome, REQUEST_HEADER};
 use crate::caller::auth::Caller;
-use crate::caller::body::{self, Form};
-use crate::caller::stream::{self as pieces, Pieces};
+use crate::caller::body::{self, Endpoint};
+use crate::caller::stream::{self as response_stream, ResponseStream};
 
-/// The header that marks a request which may not be repeated.
+/// Header of a request that must not be executed twice.
 pub const KEY_HEADER: &str = "Idempotency-Key";
-/// The longest idempotency key, in bytes.
-const KEY_BYTES_MAX: usize = 255;
+/// Maximum length of an idempotency key, in bytes.
+const MAX_KEY_BYTES: usize = 255;
 
-/// The idempotency key of a request, if it carries one.
+/// The idempotency key of a request, if it has one.
 pub struct IdempotencyKey(pub Option<String>);
 
 #[rocket::async_trait]
@@ -41,15 +41,15 @@
 }
 
 impl IdempotencyKey {
-    /// Check the key's length.
+    /// Validates the length of the key.
     ///
     /// # Errors
-    /// A failure if it is empty or too long.
-    pub fn checked(self) -> Result<Option<String>, Failure> {
+    /// A failure if the key is empty or too long.
+    pub fn validated(self) -> Result<Option<String>, Failure> {
         match self.0 {
             Some(key) if key.is_empty() => Err(Failure::bad_key("the key is empty")),
-            Some(key) if key.len() > KEY_BYTES_MAX => {
-                let message = format!("the key is longer than {KEY_BYTES_MAX} bytes");
+            Some(key) if key.len() > MAX_KEY_BYTES => {
+                let message = format!("the key is longer than {MAX_KEY_BYTES} bytes");
                 Err(Failure::bad_key(&message))
             }
             key => Ok(key),
@@ -64,7 +64,7 @@
     data: Data<'_>,
     shared: &State<Shared>,
 ) -> Result<CompletionAnswer, Failure> {
-    complete(Form::Text, caller?, key, data, shared).await
+    complete(Endpoint::Text, caller?, key, data, shared).await
 }
 
 #[post("/chat/completions", data = "<data>")]
@@ -74,64 +74,67 @@
     data: Data<'_>,
     shared: &State<Shared>,
 ) -> Result<CompletionAnswer, Failure> {
-    complete(Form::Chat, caller?, key, data, shared).await
+    complete(Endpoint::Chat, caller?, key, data, shared).await
 }
 
 async fn complete(
-    form: Form,
+    endpoint: Endpoint,
     caller: Caller,
     key: IdempotencyKey,
     data: Data<'_>,
     shared: &Shared,
 ) -> Result<CompletionAnswer, Failure> {
     let bytes = body::read(data, shared.body_bytes).await?;
-    let body = body::check(&bytes, form).map_err(Failure::bad_body)?;
-    let ask = NewRequest {
+    let body = body::validate(&bytes, endpoint).map_err(Failure::bad_body)?;
+    let request = NewRequest {
         account: caller.account.name,
         work: Work::Completion(body.completion.clone()),
-        idempotency_key: key.checked()?,
+        idempotency_key: key.validated()?,
         patience: shared.patience,
     };
-    let pieces = pieces::ask(shared, ask).await?;
+    let events = response_stream::submit(shared, request).await?;
     let writer = Writer {
-        form,
+        endpoint,
         model: body.completion.model,
-        id: pieces.id(),
+        id: events.id(),
     };
     if body.stream {
-        stream_answer(pieces, writer).await
+        stream_answer(events, writer).await
     } else {
-        whole_answer(pieces, writer).await
+        complete_answer(events, writer).await
     }
 }
 
-/// The answer to a completion request.
+/// The response to a completion request.
 pub enum CompletionAnswer {
-    /// In one piece.
-    Whole(Whole),
-    /// As server-sent events.
+    /// One JSON body.
+    Complete(CompleteAnswer),
+    /// Server-sent events.
     Stream(EventStream),
 }
 
 impl<'r> Responder<'r, 'r> for CompletionAnswer {
     fn respond_to(self, req: &'r Request<'_>) -> response::Result<'r> {
         match self {
-            CompletionAnswer::Whole(whole) => whole.respond_to(req),
+            CompletionAnswer::Complete(answer) => answer.respond_to(req),
             CompletionAnswer::Stream(stream) => stream.respond_to(req),
         }
     }
 }
 
-async fn whole_answer(mut pieces: Pieces, writer: Writer) -> Result<CompletionAnswer, Failure> {
-    let (text, finish) = pieces.whole().await;
+async fn complete_answer(
+    mut events: ResponseStream,
+    writer: Writer,
+) -> Result<CompletionAnswer, Failure> {
+    let (text, finish) = events.collect().await;
     let body = match finish {
-        Some(Finish::Completed(Completed::Completion(end))) => writer.whole(&text, Some(&end)),
+        Some(Finish::Completed(Completed::Completion(end))) => writer.body(&text, Some(&end)),
         Some(Finish::Completed(Completed::Recorded(answer))) => {
-            writer.whole(&String::from_utf8_lossy(&answer.body), None)
+            writer.body(&String::from_utf8_lossy(&answer.body), None)
         }
         other => return Err(failure(other)),
     };
-    Ok(CompletionAnswer::Whole(Whole {
+    Ok(CompletionAnswer::Complete(CompleteAnswer {
         id: writer.id,
         answer: Answer {
             status: 200,
@@ -141,7 +144,7 @@
     }))
 }
 
-/// The failure that an end stands for.
+/// Converts the result of an unsuccessful request into a failure.
 pub fn failure(finish: Option<Finish>) -> Failure {
     match finish {
         Some(Finish::NotRun(not_run)) => Failure::of_not_run(&not_run),
@@ -152,20 +155,24 @@
     }
 }
 
-/// Wait for the first part, so that a request which ends before it gets a proper status.
-async fn stream_answer(mut pieces: Pieces, writer: Writer) -> Result<CompletionAnswer, Failure> {
-    let first = pieces.next().await;
+/// Waits for the first event before it starts the stream, so that a request which fails before its first
+/// token gets an error status.
+async fn stream_answer(
+    mut events: ResponseStream,
+    writer: Writer,
+) -> Result<CompletionAnswer, Failure> {
+    let first = events.next().await;
     let mut buf = Vec::new();
     let ended = match first {
-        Some(Piece::End(
+        Some(ResponseEvent::End(
             finish @ Finish::Completed(Completed::Completion(_) | Completed::Recorded(_)),
         )) => {
             writer.end_events(finish, &mut buf);
             true
         }
-        Some(Piece::End(finish)) => return Err(failure(Some(finish))),
+        Some(ResponseEvent::End(finish)) => return Err(failure(Some(finish))),
         None => return Err(failure(None)),
-        Some(Piece::Token { text }) => {
+        Some(ResponseEvent::Token { text }) => {
             writer.token_event(&text, &mut buf);
             false
         }
@@ -173,7 +180,7 @@
     Ok(CompletionAnswer::Stream(EventStream {
         id: writer.id.clone(),
         state: StreamState {
-            pieces,
+            events,
             writer,
             first: Some(buf),
             ended,
@@ -188,7 +195,7 @@
 }
 
 struct StreamState {
-    pieces: Pieces,
+    events: ResponseStream,
     writer: Writer,
     first: Option<Vec<u8>>,
     ended: bool,
@@ -196,7 +203,7 @@
 
 impl<'r> Responder<'r, 'r> for EventStream {
     fn respond_to(self, req: &'r Request<'_>) -> response::Result<'r> {
-        let body = ByteStream(events(self.state)).respond_to(req)?;
+        let body = ByteStream(encode_events(self.state)).respond_to(req)?;
         Response::build_from(body)
             .header(ContentType::EventStream)
             .header(Header::new(REQUEST_HEADER, self.id))
@@ -205,8 +212,8 @@
     }
 }
 
-/// The events; those that are ready together share a write.
-fn events(state: StreamState) -> impl Stream<Item = Bytes> {
+/// Encodes the events. Events that are available at the same time share a write.
+fn encode_events(state: StreamState) -> impl Stream<Item = Bytes> {
     stream::unfold(state, |mut state| async move {
         let buf = match state.first.take() {
             Some(buf) => buf,
@@ -219,24 +226,24 @@
 
 async fn next_events(state: &mut StreamState) -> Option<Vec<u8>> {
     let mut buf = Vec::new();
-    let mut next = state.pieces.next().await;
-    while let Some(piece) = next {
-        match piece {
-            Piece::Token { text } => state.writer.token_event(&text, &mut buf),
-            Piece::End(finish) => {
+    let mut next = state.events.next().await;
+    while let Some(event) = next {
+        match event {
+            ResponseEvent::Token { text } => state.writer.token_event(&text, &mut buf),
+            ResponseEvent::End(finish) => {
                 state.writer.end_events(finish, &mut buf);
                 state.ended = true;
                 return Some(buf);
             }
         }
-        next = state.pieces.try_next();
+        next = state.events.try_next();
     }
     (!buf.is_empty()).then_some(buf)
 }
 
-/// Writes answers in the customary form.
+/// Encodes responses in the JSON format that is customary for completion APIs.
 struct Writer {
-    form: Form,
+    endpoint: Endpoint,
     model: String,
     id: String,
 }
@@ -294,7 +301,7 @@
     }
 }
 
-fn reason(end: Option<&CompletionEnd>) -> &'static str {
+fn finish_reason(end: Option<&CompletionEnd>) -> &'static str {
     match end {
         Some(end) if end.stopped => "stop",
         _ => "length",
@@ -302,10 +309,10 @@
 }
 
 impl Writer {
-    fn whole(&self, text: &str, end: Option<&CompletionEnd>) -> Vec<u8> {
-        let (object, plain, message) = match self.form {
-            Form::Text => ("text_completion", Some(text), None),
-            Form::Chat => ("chat.completion", None, Some(text)),
+    fn body(&self, text: &str, end: Option<&CompletionEnd>) -> Vec<u8> {
+        let (object, plain, message) = match self.endpoint {
+            Endpoint::Text => ("text_completion", Some(text), None),
+            Endpoint::Chat => ("chat.completion", None, Some(text)),
         };
         let message = message.map(|content| ChatMessage {
             role: "assistant",
@@ -316,7 +323,7 @@
             text: plain,
             message,
             delta: None,
-            finish_reason: Some(reason(end)),
+            finish_reason: Some(finish_reason(end)),
         };
         self.envelope(object, choice, end.map(Usage::of), Some(Outcome::Completed))
     }
@@ -333,9 +340,9 @@
         outcome: Option<Outcome>,
         buf: &mut Vec<u8>,
     ) {
-        let (object, plain, delta) = match self.form {
-            Form::Text => ("text_completion", Some(text), None),
-            Form::Chat => ("chat.completion.chunk", None, Some(Delta { content: text })),
+        let (object, plain, delta) = match self.endpoint {
+            Endpoint::Text => ("text_completion", Some(text), None),
+            Endpoint::Chat => ("chat.completion.chunk", None, Some(Delta { content: text })),
         };
         let choice = Choice {
             index: 0,
@@ -355,12 +362,12 @@
         match finish {
             Finish::Completed(Completed::Completion(end)) => {
                 let usage = Some(Usage::of(&end));
-                self.chunk_event("", Some(reason(Some(&end))), usage, completed, buf);
+                self.chunk_event("", Some(finish_reason(Some(&end))), usage, completed, buf);
                 buf.extend_from_slice(b"data: [DONE]\n\n");
             }
             Finish::Completed(Completed::Recorded(answer)) => {
                 let text = String::from_utf8_lossy(&answer.body);
-                self.chunk_event(&text, Some(reason(None)), None, completed, buf);
+                self.chunk_event(&text, Some(finish_reason(None)), None, completed, buf);
                 buf.extend_from_slice(b"data: [DONE]\n\n");
             }
             other => {
@@ -386,7 +393,7 @@
             usage,
             outcome,
         };
-        // An envelope of plain texts and numbers always serializes.
+        // An envelope of strings and numbers always serializes.
         serde_json::to_vec(&envelope).unwrap_or_default()
     }
 }
--- a/reachtally-daemon/src/caller/services.rs
+++ b/reachtally-daemon/src/caller/services.rs
@@ -1,4 +1,4 @@
-//! `/services/<name>/<path>`: calls passed on to plain services.
+//! `/services/<name>/<path>`: calls that are forwarded to plain services.
 
 use reachtally_core::effect::{Completed, Finish};
 use reachtally_core::request::{NewRequest, ServiceCall, Work};
@@ -8,16 +8,16 @@
 use rocket::route::{Handler, Outcome, Route};
 
 use crate::caller::Shared;
-use crate::caller::answer::{Failure, Whole};
+use crate::caller::answer::{CompleteAnswer, Failure};
 use crate::caller::auth::Caller;
 use crate::caller::body;
 use crate::caller::completions::{IdempotencyKey, failure};
-use crate::caller::stream as pieces;
+use crate::caller::stream;
 
 /// The prefix under which services are mounted.
 const PREFIX: &str = "/services/";
 
-/// One route for each method.
+/// One route per method.
 pub fn routes() -> Vec<Route> {
     [
         Method::Get,
@@ -27,30 +27,30 @@
         Method::Patch,
     ]
     .into_iter()
-    .map(|method| Route::new(method, "/<path..>", PassOn))
+    .map(|method| Route::new(method, "/<path..>", Forward))
     .collect()
 }
 
 #[derive(Clone)]
-struct PassOn;
+struct Forward;
 
 #[rocket::async_trait]
-impl Handler for PassOn {
+impl Handler for Forward {
     async fn handle<'r>(&self, req: &'r Request<'_>, data: Data<'r>) -> Outcome<'r> {
-        match pass_on(req, data).await {
-            Ok(whole) => Outcome::from(req, whole),
+        match forward(req, data).await {
+            Ok(response) => Outcome::from(req, response),
             Err(failure) => Outcome::from(req, failure),
         }
     }
 }
 
-async fn pass_on(req: &Request<'_>, data: Data<'_>) -> Result<Whole, Failure> {
+async fn forward(req: &Request<'_>, data: Data<'_>) -> Result<CompleteAnswer, Failure> {
     let caller = match req.guard::<Result<Caller, Failure>>().await {
         rocket::request::Outcome::Success(caller) => caller?,
         _ => return Err(Failure::key_missing()),
     };
     let key = match req.guard::<IdempotencyKey>().await {
-        rocket::request::Outcome::Success(key) => key.checked()?,
+        rocket::request::Outcome::Success(key) => key.validated()?,
         _ => None,
     };
     let shared = req.rocket().state::<Shared>();
@@ -63,23 +63,23 @@
         content_type: req.content_type().map(ToString::to_string),
         body: body::read(data, shared.body_bytes).await?.into(),
     };
-    let ask = NewRequest {
+    let request = NewRequest {
         account: caller.account.name,
         work: Work::Service(call),
         idempotency_key: key,
         patience: shared.patience,
     };
-    let mut pieces = pieces::ask(shared, ask).await?;
-    let id = pieces.id();
-    match pieces.whole().await.1 {
+    let mut events = stream::submit(shared, request).await?;
+    let id = events.id();
+    match events.collect().await.1 {
         Some(Finish::Completed(Completed::Service(answer) | Completed::Recorded(answer))) => {
-            Ok(Whole { id, answer })
+            Ok(CompleteAnswer { id, answer })
         }
         other => Err(failure(other)),
     }
 }
 
-/// The service's name, and the path and query behind it, as they came.
+/// Splits the URI into the service's name and the unmodified rest of path and query.
 fn split(req: &Request<'_>) -> (String, String) {
     let path = req.uri().path().as_str();
     let rest = path.strip_prefix(PREFIX).unwrap_or_default();
--- a/reachtally-daemon/src/caller/stream.rs
+++ b/reachtally-daemon/src/caller/stream.rs
@@ -1,118 +1,119 @@
-//! A request's answer as it comes in.
+//! The stream of events that make up a request's response.
 
 use reachtally_core::Event;
 use reachtally_core::effect::Finish;
 use reachtally_core::request::NewRequest;
 use tokio::sync::{mpsc, oneshot};
 
-use crate::actor::{Handle, Message, Piece, Taken};
+use crate::actor::{AcceptedRequest, Handle, Message, ResponseEvent};
 use crate::caller::answer::Failure;
 use crate::caller::{OpenStream, Shared};
 
-/// Tokens taken before the actor is told, so that the request goes on.
+/// Number of tokens consumed between reports to the actor. The reports let the request proceed.
 const TOKENS_PER_REPORT: u32 = 16;
 
-/// The parts of one request's answer. Dropped before the end, it tells the actor that the caller
-/// hung up.
-pub struct Pieces {
-    rx: mpsc::UnboundedReceiver<Piece>,
+/// The events of one request's response. If dropped before the end, it reports to the actor that the
+/// caller has disconnected.
+pub struct ResponseStream {
+    rx: mpsc::UnboundedReceiver<ResponseEvent>,
     handle: Handle,
-    taken: Taken,
+    accepted: AcceptedRequest,
     unreported: u32,
     ended: bool,
     _open: OpenStream,
 }
 
-/// Hand `ask` to the actor.
+/// Submits `request` to the actor.
 ///
 /// # Errors
-/// A failure if the actor is gone.
-pub async fn ask(shared: &Shared, ask: NewRequest) -> Result<Pieces, Failure> {
+/// A failure if the actor has ended.
+pub async fn submit(shared: &Shared, request: NewRequest) -> Result<ResponseStream, Failure> {
     let open = shared.open.enter();
-    let (pieces, rx) = mpsc::unbounded_channel();
-    let (taken_tx, taken_rx) = oneshot::channel();
+    let (events, rx) = mpsc::unbounded_channel();
+    let (accepted_tx, accepted_rx) = oneshot::channel();
     let message = Message::NewRequest {
-        ask,
-        pieces,
-        taken: taken_tx,
+        request,
+        events,
+        accepted: accepted_tx,
     };
-    let gone = || Failure::not_ready("the daemon is stopping");
-    shared.handle.send(message).map_err(|_| gone())?;
-    let taken = taken_rx.await.map_err(|_| gone())?;
-    Ok(Pieces {
+    let stopping = || Failure::not_ready("the daemon is stopping");
+    shared.handle.send(message).map_err(|_| stopping())?;
+    let accepted = accepted_rx.await.map_err(|_| stopping())?;
+    Ok(ResponseStream {
         rx,
         handle: shared.handle.clone(),
-        taken,
+        accepted,
         unreported: 0,
         ended: false,
         _open: open,
     })
 }
 
-impl Pieces {
-    /// The request's name.
+impl ResponseStream {
+    /// Id of the request.
     pub fn id(&self) -> String {
-        self.taken.id.to_string()
+        self.accepted.id.to_string()
     }
 
-    /// The next part; nothing after the end.
-    pub async fn next(&mut self) -> Option<Piece> {
+    /// Waits for the next event; `None` after the end.
+    pub async fn next(&mut self) -> Option<ResponseEvent> {
         if self.ended {
             return None;
         }
-        let piece = self.rx.recv().await;
-        self.took(piece)
+        let event = self.rx.recv().await;
+        self.record(event)
     }
 
-    /// The next part if it is there already.
-    pub fn try_next(&mut self) -> Option<Piece> {
+    /// Returns the next event if it is already available.
+    pub fn try_next(&mut self) -> Option<ResponseEvent> {
         if self.ended {
             return None;
         }
-        let piece = self.rx.try_recv().ok()?;
-        self.took(Some(piece))
+        let event = self.rx.try_recv().ok()?;
+        self.record(Some(event))
     }
 
-    /// Read to the end; yields the text and how it ended.
-    pub async fn whole(&mut self) -> (String, Option<Finish>) {
+    /// Reads the response to its end and returns the text and the result.
+    pub async fn collect(&mut self) -> (String, Option<Finish>) {
         let mut text = String::new();
-        while let Some(piece) = self.next().await {
-            match piece {
-                Piece::Token { text: token } => text.push_str(&token),
-                Piece::End(finish) => return (text, Some(finish)),
+        while let Some(event) = self.next().await {
+            match event {
+                ResponseEvent::Token { text: token } => text.push_str(&token),
+                ResponseEvent::End(finish) => return (text, Some(finish)),
             }
         }
         (text, None)
     }
 
-    fn took(&mut self, piece: Option<Piece>) -> Option<Piece> {
-        match &piece {
-            Some(Piece::Token { .. }) => {
+    /// Updates the state of the stream with an event that is returned to the caller.
+    fn record(&mut self, event: Option<ResponseEvent>) -> Option<ResponseEvent> {
+        match &event {
+            Some(ResponseEvent::Token { .. }) => {
                 self.unreported += 1;
                 if self.unreported >= TOKENS_PER_REPORT {
-                    self.report();
+                    self.report_consumed();
                 }
             }
-            Some(Piece::End(_)) | None => self.ended = true,
+            Some(ResponseEvent::End(_)) | None => self.ended = true,
         }
-        piece
+        event
     }
 
-    fn report(&mut self) {
+    fn report_consumed(&mut self) {
         let tokens = std::mem::take(&mut self.unreported);
         let event = Event::Consumed {
-            request: self.taken.key,
+            request: self.accepted.key,
             tokens,
         };
-        // The actor is gone only when the daemon is.
+        // Sending fails only once the daemon has stopped.
         self.handle.send(Message::Event(event)).ok();
     }
 }
 
-impl Drop for Pieces {
+impl Drop for ResponseStream {
     fn drop(&mut self) {
         if !self.ended {
-            let event = Event::Disconnected(self.taken.key);
+            let event = Event::Disconnected(self.accepted.key);
             self.handle.send(Message::Event(event)).ok();
         }
     }
--- a/reachtally-daemon/src/demo.rs
+++ b/reachtally-daemon/src/demo.rs
@@ -1,4 +1,4 @@
-//! One whole session against embedded stand-ins, with a stage that dies half way.
+//! A complete session against embedded stand-ins in which a stage fails midway.
 
 use std::collections::BTreeMap;
 use std::io::Write;
@@ -12,12 +12,12 @@
 use crate::ended::{AcceptedRun, Ended};
 use crate::standalone::{self, CALLER_KEY, LAYERS, MODEL, Standalone};
 
-/// Tokens asked for.
+/// Number of requested tokens.
 const TOKENS: u32 = 48;
-/// Tokens after which the stage dies.
-const DEATH_AFTER: usize = 20;
-/// The stage that dies.
-const DYING_STAGE: &str = "engine-1";
+/// Number of tokens after which the stage fails.
+const FAIL_AFTER: usize = 20;
+/// Name prefix of the engines of the stage that fails.
+const FAILING_STAGE: &str = "engine-1";
 const PROMPT: &str = "draft a service report for screw unit seven";
 
 /// Why the session failed.
@@ -25,13 +25,13 @@
 pub enum DemoError {
     /// The stand-ins or the daemon did not start.
     Start,
-    /// The request could not be sent, or its answer broke off.
+    /// The request could not be sent, or its response was incomplete.
     Request,
-    /// The answer differs from what the model answers when computed in one place.
+    /// The response differs from the output of the model on a single engine.
     WrongAnswer,
-    /// The ledgers don't show each layer once for each token.
+    /// The engines' ledgers do not show exactly one execution of each layer per token.
     Ledger,
-    /// No stage was shifted, so the session shows nothing.
+    /// No stage was shifted, so the session demonstrates nothing.
     NoShift,
 }
 
@@ -49,10 +49,10 @@
 
 impl std::error::Error for DemoError {}
 
-/// Run the session and print it.
+/// Runs the session and prints it.
 ///
 /// # Errors
-/// [`DemoError`] if the answer or the ledgers are wrong.
+/// [`DemoError`] if the response or the ledgers are wrong.
 pub async fn demo() -> Result<(), Report<DemoError>> {
     let setup = standalone::standalone(standalone::Options::default())
         .await
@@ -72,38 +72,38 @@
     Ok(())
 }
 
-/// Send the request, print the answer as it streams, and kill the stage half way.
+/// Sends the request, prints the response as it streams, and kills an engine of the stage midway.
 async fn stream(setup: &Standalone) -> Result<String, Report<DemoError>> {
     let body = json!({"model": MODEL, "prompt": PROMPT, "max_tokens": TOKENS, "stream": true});
     let url = format!("http://{}/v1/completions", setup.daemon.callers());
     let client = reqwest::Client::new();
     let req = client.post(url).bearer_auth(CALLER_KEY).json(&body);
     let mut response = req.send().await.change_context(DemoError::Request)?;
-    let mut events = Events::default();
+    let mut parser = SseParser::default();
     let mut text = String::new();
     let mut tokens = 0;
     while let Some(chunk) = response.chunk().await.change_context(DemoError::Request)? {
-        for token in events.push(&chunk) {
+        for token in parser.push(&chunk) {
             tokens += 1;
             text.push_str(&token);
             print!("{token}");
             std::io::stdout().flush().ok();
-            if tokens == DEATH_AFTER {
-                kill_stage(setup);
+            if tokens == FAIL_AFTER {
+                kill_serving_engine(setup);
             }
         }
     }
     println!();
-    println!("outcome: {}", events.outcome.as_deref().unwrap_or("none"));
+    println!("outcome: {}", parser.outcome.as_deref().unwrap_or("none"));
     Ok(text)
 }
 
-/// The engine of the dying stage that serves the request dies.
-fn kill_stage(setup: &Standalone) {
+/// Kills the engine of the failing stage that serves the request.
+fn kill_serving_engine(setup: &Standalone) {
     let serving = setup
         .engines
         .iter()
-        .find(|(name, engine)| name.starts_with(DYING_STAGE) && engine.requests_held() > 0);
+        .find(|(name, engine)| name.starts_with(FAILING_STAGE) && engine.requests_held() > 0);
     if let Some((name, engine)) = serving {
         println!();
         println!("[{name} dies]");
@@ -131,7 +131,7 @@
     .ok_or_else(|| Report::new(DemoError::Request))
 }
 
-fn by_name(run: &AcceptedRun) -> Accepted {
+fn to_accepted(run: &AcceptedRun) -> Accepted {
     Accepted {
         target: run.target.clone(),
         layers: run.layers,
@@ -158,7 +158,7 @@
         .map(|(name, engine)| (name.clone(), engine.ledger()))
         .collect();
     let positions = ended.positions();
-    let accepted: Vec<Accepted> = ended.accepted.iter().map(by_name).collect();
+    let accepted: Vec<Accepted> = ended.accepted.iter().map(to_accepted).collect();
     let violations = verify(ended.id, LAYERS, positions, &accepted, &ledgers);
     if !violations.is_empty() {
         return Err(Report::new(DemoError::Ledger).attach(format!("{violations:?}")));
@@ -171,15 +171,15 @@
     Ok(())
 }
 
-/// Takes server-sent events apart.
+/// Incremental parser for server-sent events.
 #[derive(Default)]
-struct Events {
+struct SseParser {
     buf: String,
     outcome: Option<String>,
 }
 
-impl Events {
-    /// Take bytes; yields the texts of whole events.
+impl SseParser {
+    /// Appends bytes and returns the texts of the events that are now complete.
     fn push(&mut self, bytes: &[u8]) -> Vec<String> {
         self.buf.push_str(&String::from_utf8_lossy(bytes));
         let mut texts = Vec::new();
--- a/reachtally-daemon/src/ended.rs
+++ b/reachtally-daemon/src/ended.rs
@@ -1,4 +1,4 @@
-//! Requests that ended, as operators and experiments see them.
+//! Summaries of ended requests for operators and benchmarks.
 
 use reachtally_core::World;
 use reachtally_core::declare::Layers;
@@ -7,10 +7,10 @@
 use reachtally_core::lineage::Lineage;
 use serde::Serialize;
 
-/// A run of positions accepted from one engine under one attempt.
+/// A range of positions accepted from one engine in one attempt.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 pub struct AcceptedRun {
-    /// The engine.
+    /// Name of the engine.
     pub target: String,
     /// The layers it ran.
     pub layers: Layers,
@@ -18,35 +18,36 @@
     pub from: u32,
     /// One past the last position.
     pub end: u32,
-    /// The attempt.
+    /// Number of the attempt.
     pub attempt: u32,
 }
 
-/// A request that ended.
+/// Summary of an ended request.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 pub struct Ended {
-    /// Its identity.
+    /// Id of the request.
     pub id: RequestId,
     /// `completed`, `not-run`, `unknown` or `abandoned`.
     pub outcome: &'static str,
-    /// Positions of the prompt.
+    /// Number of prompt tokens.
     pub prompt_tokens: u32,
-    /// Tokens generated.
+    /// Number of generated tokens.
     pub completion_tokens: u32,
-    /// The attempt it ended with.
+    /// Number of the last attempt.
     pub attempts: u32,
-    /// What was accepted from which engine.
+    /// The ranges accepted from each engine.
     pub accepted: Vec<AcceptedRun>,
 }
 
 impl Ended {
-    /// Positions that every layer must have run: the last token generated is never an input.
+    /// Number of positions that every layer must have processed. The last generated token is never an
+    /// input.
     pub fn positions(&self) -> u32 {
         (self.prompt_tokens + self.completion_tokens).saturating_sub(1)
     }
 }
 
-/// Describe how a request ended; engines are named, since rows may go.
+/// Summarizes how a request ended. Engines are stored by name, since their rows may be removed.
 pub fn describe(world: &World, id: RequestId, finish: &Finish) -> Ended {
     let mut ended = Ended {
         id,
--- a/reachtally-daemon/src/follow.rs
+++ b/reachtally-daemon/src/follow.rs
@@ -1,4 +1,4 @@
-//! Following the platform: the configuration and claim streams, and the live list.
+//! Tasks that follow the platform's configuration, failure-domain and claim streams and its live list.
 
 use std::time::Duration;
 
@@ -18,23 +18,23 @@
 
 use crate::actor::{Handle, Message};
 
-/// Time that one read waits for a new record.
+/// Long-poll wait of a read for new records, in ms.
 const READ_WAIT_MS: u64 = 1000;
-/// Wait after a read that failed.
-const RETRY_WAIT: Duration = Duration::from_millis(200);
-/// Time between two looks at the configuration stream by a daemon that is no reader.
+/// Delay after a failed read.
+const RETRY_DELAY: Duration = Duration::from_millis(200);
+/// Interval at which a daemon that is not a reader polls the configuration stream.
 const IDLE_INTERVAL: Duration = Duration::from_secs(30);
-/// Time between two reads of the live list.
+/// Interval between reads of the live list.
 const LIST_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Whether the last read worked, so that only changes are logged.
+/// Tracks whether the last read succeeded, so that only changes are logged.
 struct Availability {
     what: &'static str,
     up: bool,
 }
 
 impl Availability {
-    fn saw(&mut self, up: bool) {
+    fn update(&mut self, up: bool) {
         if up == self.up {
             return;
         }
@@ -46,52 +46,53 @@
     }
 }
 
-fn tell(handle: &Handle, event: Event) -> bool {
+/// Sends an event to the actor; `false` if the actor has ended.
+fn send_event(handle: &Handle, event: Event) -> bool {
     handle.send(Message::Event(event)).is_ok()
 }
 
-/// Feed the configuration stream to the actor until it is gone. A daemon that is no reader of its
-/// failure domain looks at the log now and then only; it hears from its peers.
+/// Feeds the configuration stream to the actor until the actor ends. A daemon that is not a reader of its
+/// failure domain polls the log only occasionally and gets changes from its peers.
 pub async fn config<L: Log>(log: L, handle: Handle, mut reader: watch::Receiver<bool>) {
-    let mut seen = Availability {
+    let mut availability = Availability {
         what: CONFIG_STREAM,
         up: true,
     };
     let mut next = start_from_snapshot(&log, &handle).await;
     loop {
-        let close = *reader.borrow();
-        let wait_ms = if close { READ_WAIT_MS } else { 0 };
+        let is_reader = *reader.borrow();
+        let wait_ms = if is_reader { READ_WAIT_MS } else { 0 };
         let page = log.read(CONFIG_STREAM, next, wait_ms).await;
-        seen.saw(page.is_ok());
+        availability.update(page.is_ok());
         let Ok(page) = page else {
-            sleep(RETRY_WAIT).await;
+            sleep(RETRY_DELAY).await;
             continue;
         };
         if page.first > next {
-            warn!(next, first = page.first; "configuration records are gone; reading a snapshot");
+            warn!(next, first = page.first; "configuration records are no longer retained; reading a snapshot");
             next = start_from_snapshot(&log, &handle).await.max(next);
-            sleep(RETRY_WAIT).await;
+            sleep(RETRY_DELAY).await;
             continue;
         }
         next = page.records.last().map_or(next, |record| record.offset + 1);
         let at_end = next >= page.end;
-        if !tell(&handle, Event::ConfigRead(operations(page.records))) {
+        if !send_event(&handle, Event::ConfigRead(operations(page.records))) {
             return;
         }
-        if at_end && !close {
-            // Whichever comes first: the time, or the part of a reader.
+        if at_end && !is_reader {
+            // Ends early if this daemon becomes a reader.
             timeout(IDLE_INTERVAL, reader.changed()).await.ok();
         }
     }
 }
 
-/// Hand the last snapshot in the log to the actor; yields the offset to read on from.
+/// Sends the last snapshot in the log to the actor and returns the offset to continue from.
 async fn start_from_snapshot<L: Log>(log: &L, handle: &Handle) -> u64 {
     let Some(config) = last_snapshot(log).await else {
         return 0;
     };
     let next = config.next();
-    tell(
+    send_event(
         handle,
         Event::PeerConfig(PeerConfig::Snapshot(Box::new(config))),
     );
@@ -107,32 +108,33 @@
     serde_json::from_value(page.records.into_iter().next_back()?.data).ok()
 }
 
-/// Feed the stream of failure domains to the actor until it is gone.
+/// Feeds the stream of failure domains to the actor until the actor ends.
 pub async fn domains<L: Log>(log: L, handle: Handle) {
     let mut next = 0;
     loop {
         let Ok(page) = log.read(DOMAINS_STREAM, next, READ_WAIT_MS).await else {
-            sleep(RETRY_WAIT).await;
+            sleep(RETRY_DELAY).await;
             continue;
         };
         next = next_offset(&page, next);
         let records = readable::<DomainRecord>(page.records);
-        if !tell(&handle, Event::DomainsRead(records)) {
+        if !send_event(&handle, Event::DomainsRead(records)) {
             return;
         }
     }
 }
 
-/// The operations of configuration records.
+/// Decodes the operations of configuration records.
 pub fn operations(records: Vec<Record>) -> Vec<Read<Operation>> {
     records.into_iter().map(operation).collect()
 }
 
-/// A record that is no operation still takes its offset; it changes nothing.
+/// Decodes an operation. An invalid record becomes an operation without edits, since it still occupies
+/// its offset.
 fn operation(record: Record) -> Read<Operation> {
     let offset = record.offset;
     let operation = serde_json::from_value(record.data).unwrap_or_else(|err| {
-        warn!(offset, error:% = err; "configuration record is no operation");
+        warn!(offset, error:% = err; "configuration record is not a valid operation");
         Operation {
             id: format!("unreadable-{offset}"),
             actor: String::new(),
@@ -146,21 +148,22 @@
     }
 }
 
-/// How much of the claim stream a daemon has read without a gap.
+/// The part of the claim stream that a daemon has read without a gap.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 struct Coverage {
     next: u64,
-    /// The log's time of the first record read, unless that was the stream's very first.
+    /// Log time of the first record after a gap; `None` if the stream was read from its first record.
     since_ms: Option<u64>,
     newest_ms: u64,
-    /// How often the log has come back from an older copy, as the last page told.
-    returns: u64,
-    /// Returns whose record was read, and when the log took it. Claims of before that may be gone.
-    marked: Option<(u64, u64)>,
+    /// How often the log has been restored from an older copy, according to the last page.
+    restores: u64,
+    /// Highest restore count for which a record was read, and the log time of that record. Claims made
+    /// before that time may be lost.
+    recorded_restore: Option<(u64, u64)>,
 }
 
 impl Coverage {
-    /// Whether `page` does not continue what was read: records in between are gone.
+    /// Whether records between the last page and `page` were dropped.
     fn has_gap(&self, page: &Page) -> bool {
         page.first > self.next
     }
@@ -177,64 +180,64 @@
             .map_or(self.newest_ms, |last| last.at_ms);
     }
 
-    /// Whether every claim of the last `window` was read. A key claimed in a record that retention
-    /// dropped earlier would look free.
-    fn is_whole(&self, page: &Page, window: Duration) -> bool {
+    /// Whether all claims of the last `window` have been read. A key claimed in a record that was dropped
+    /// by retention before would appear unclaimed.
+    fn is_complete(&self, page: &Page, window: Duration) -> bool {
         let covered = |since_ms| self.newest_ms - since_ms >= window.as_millis() as u64;
-        let marked_ms = self.marked.map(|(_, at_ms)| at_ms);
+        let restored_ms = self.recorded_restore.map(|(_, at_ms)| at_ms);
         self.is_at_end(page)
-            && !self.lacks_mark()
-            && self.since_ms.max(marked_ms).is_none_or(covered)
+            && !self.lacks_restore_record()
+            && self.since_ms.max(restored_ms).is_none_or(covered)
     }
 
     fn is_at_end(&self, page: &Page) -> bool {
         self.next >= page.end
     }
 
-    /// Whether the log has come back from an older copy and no record says when.
-    fn lacks_mark(&self) -> bool {
-        self.returns > self.marked.map_or(0, |(returns, _)| returns)
+    /// Whether the log was restored from an older copy and no record of it has been read.
+    fn lacks_restore_record(&self) -> bool {
+        self.restores > self.recorded_restore.map_or(0, |(restores, _)| restores)
     }
 
-    /// Note the records that tell of returns.
-    fn mark(&mut self, records: &[Read<ClaimRecord>]) {
+    /// Takes note of the restore records among `records`.
+    fn note_restores(&mut self, records: &[Read<ClaimRecord>]) {
         for read in records {
             for entry in &read.record.entries {
                 if let Entry::Returned { returns } = *entry {
-                    self.marked = self.marked.max(Some((returns, read.at_ms)));
+                    self.recorded_restore = self.recorded_restore.max(Some((returns, read.at_ms)));
                 }
             }
         }
     }
 }
 
-/// Feed the claim stream to the actor until it is gone. Requests with a key are only taken while every
-/// claim of the last `window` is known.
+/// Feeds the claim stream to the actor until the actor ends. Requests with an idempotency key are only
+/// accepted while all claims of the last `window` are known.
 ///
-/// After a return of the log from an older copy that is so only once the window has passed since then: the daemon run `by`
-/// appends when that was, unless another did.
+/// After the log was restored from an older copy, that is the case only once the window has passed since
+/// the restore. The daemon run `by` appends a record that marks the time, unless another daemon has.
 pub async fn claims<L: Log>(log: L, handle: Handle, window: Duration, by: Incarnation) {
     let mut coverage = Coverage::default();
-    let mut whole = false;
-    // The first read waits for nothing, so that an empty stream is known at once.
+    let mut complete = false;
+    // The first read does not wait, so that an empty stream is detected immediately.
     let mut wait_ms = 0;
-    let mut seen = Availability {
+    let mut availability = Availability {
         what: CLAIMS_STREAM,
         up: true,
     };
     loop {
         let page = log.read(CLAIMS_STREAM, coverage.next, wait_ms).await;
-        seen.saw(page.is_ok());
+        availability.update(page.is_ok());
         let Ok(mut page) = page else {
-            sleep(RETRY_WAIT).await;
+            sleep(RETRY_DELAY).await;
             continue;
         };
-        if page.returns > coverage.returns {
-            warn!(returns = page.returns, held = coverage.returns; "the log came back from an older copy; its claims are read anew");
-            whole = false;
-            tell(&handle, Event::ClaimLogRestored);
+        if page.returns > coverage.restores {
+            warn!(returns = page.returns, held = coverage.restores; "the log came back from an older copy; its claims are read anew");
+            complete = false;
+            send_event(&handle, Event::ClaimLogRestored);
             coverage = Coverage {
-                returns: page.returns,
+                restores: page.returns,
                 ..Coverage::default()
             };
             wait_ms = 0;
@@ -242,36 +245,37 @@
         }
         wait_ms = READ_WAIT_MS;
         if coverage.has_gap(&page) {
-            warn!(next = coverage.next, first = page.first; "claim records are gone");
-            whole = false;
-            tell(&handle, Event::ClaimsGap);
+            warn!(next = coverage.next, first = page.first; "claim records are no longer retained");
+            complete = false;
+            send_event(&handle, Event::ClaimsGap);
         }
         coverage.read(&page);
         let records = readable(std::mem::take(&mut page.records));
-        coverage.mark(&records);
-        if coverage.is_at_end(&page) && coverage.lacks_mark() {
-            append_mark(&log, coverage.returns, by).await;
+        coverage.note_restores(&records);
+        if coverage.is_at_end(&page) && coverage.lacks_restore_record() {
+            append_restore(&log, coverage.restores, by).await;
         }
-        let now_whole = coverage.is_whole(&page, window);
-        if !tell(&handle, Event::ClaimsRead(records)) {
+        let now_complete = coverage.is_complete(&page, window);
+        if !send_event(&handle, Event::ClaimsRead(records)) {
             return;
         }
-        if now_whole && !whole {
-            whole = true;
-            tell(&handle, Event::ClaimsCaughtUp);
+        if now_complete && !complete {
+            complete = true;
+            send_event(&handle, Event::ClaimsCaughtUp);
         }
     }
 }
 
-/// Append when the log came back. A lost answer is no harm: the record is read, or appended once more.
-async fn append_mark<L: Log>(log: &L, returns: u64, by: Incarnation) {
+/// Appends a record that marks the time of a restore. If the response is lost, the record is either read
+/// back or appended again.
+async fn append_restore<L: Log>(log: &L, returns: u64, by: Incarnation) {
     let record = ClaimRecord {
         by,
         entries: vec![Entry::Returned { returns }],
     };
-    let data = serde_json::to_value(record).expect("numbers and texts");
+    let data = serde_json::to_value(record).expect("strings and numbers always serialize");
     if let Err(err) = log.append(CLAIMS_STREAM, data).await {
-        warn!(returns, why:? = err; "the record of the log's return was not confirmed");
+        warn!(returns, why:? = err; "append of the restore record was not confirmed");
     }
 }
 
@@ -298,18 +302,18 @@
     read.collect()
 }
 
-/// Feed the live list to the actor until it is gone. While the list does not answer, the last one
-/// read stays in force.
+/// Feeds the live list to the actor until the actor ends. While the list is unavailable, the last one read
+/// remains in effect.
 pub async fn list<L: LiveList>(list: L, handle: Handle) {
-    let mut seen = Availability {
+    let mut availability = Availability {
         what: "list",
         up: true,
     };
     loop {
         let boxes = list.boxes().await;
-        seen.saw(boxes.is_ok());
+        availability.update(boxes.is_ok());
         if let Ok(boxes) = boxes
-            && !tell(&handle, Event::LiveListRead(boxes))
+            && !send_event(&handle, Event::LiveListRead(boxes))
         {
             return;
         }
--- a/reachtally-daemon/src/lib.rs
+++ b/reachtally-daemon/src/lib.rs
@@ -1,7 +1,7 @@
 //! The entry box's daemon.
 //!
 //! One task owns the [`World`](reachtally_core::World) and runs its systems; see [`actor`]. The
-//! listeners for callers and operators hand it what is asked, [`perform`] carries its effects out,
+//! listeners for callers and operators send it requests and queries, [`perform`] executes its effects,
 //! and [`follow`] feeds it the platform's streams.
 #![forbid(unsafe_code)]
 #![deny(missing_docs)]
--- a/reachtally-daemon/src/main.rs
+++ b/reachtally-daemon/src/main.rs
@@ -13,7 +13,7 @@
 #[derive(Debug, Clone, Bpaf)]
 #[bpaf(options, version)]
 enum Command {
-    /// Run the daemon until it is told to stop (SIGTERM or SIGINT)
+    /// Run the daemon until SIGTERM or SIGINT
     #[bpaf(command)]
     Run {
         /// Settings file (YAML)
@@ -22,7 +22,7 @@
         /// Worker threads
         #[bpaf(argument("N"), fallback(1), guard(|n| *n > 0, "give at least 1"))]
         threads: usize,
-        /// Run with an embedded log, list, engines and services; needs no settings
+        /// Run with an embedded log, live list, engines and services; needs no settings
         standalone: bool,
     },
     /// Check a settings file and report every finding
@@ -32,7 +32,7 @@
         #[bpaf(argument("FILE"))]
         settings: PathBuf,
     },
-    /// Run one whole session against embedded stand-ins, with a stage that dies half way
+    /// Run a session against embedded stand-ins in which a stage fails midway
     #[bpaf(command)]
     Demo,
 }
@@ -50,8 +50,8 @@
     }
 }
 
-/// One worker thread unless told otherwise: a step's way through the daemon then crosses no thread,
-/// which is what the time to the first token consists of.
+/// Builds the runtime, with one worker thread by default. A step then passes through the daemon without
+/// crossing threads, which otherwise dominates the time to first token.
 fn runtime(command: &Command) -> Result<Runtime, String> {
     let threads = match command {
         Command::Run { threads, .. } => *threads,
@@ -64,8 +64,8 @@
         .map_err(|err| format!("can't start the runtime: {err}"))
 }
 
-/// Lines for changes of state; `RUST_LOG` chooses others. Rocket logs several lines for each request,
-/// so it is always off.
+/// Sets up logging at level `info` unless `RUST_LOG` is set. Rocket's logs are always disabled, since it
+/// writes several lines per request.
 fn init_logs() {
     env_logger::Builder::from_env(env_logger::Env::default().default_filter_or("info"))
         .filter_module("rocket", log::LevelFilter::Off)
--- a/reachtally-daemon/src/metrics.rs
+++ b/reachtally-daemon/src/metrics.rs
@@ -1,4 +1,4 @@
-//! Metrics: the core's counters as StatsD counts.
+//! Export of the core's counters to StatsD.
 
 use std::net::{SocketAddr, UdpSocket};
 use std::time::Duration;
@@ -10,13 +10,13 @@
 
 /// Prefix of every metric.
 const PREFIX: &str = "reachtally";
-/// Time between two reports.
+/// Interval between reports.
 const INTERVAL: Duration = Duration::from_secs(1);
 
-/// A client that sends to `statsd`, or nowhere.
+/// Creates a client that sends to `statsd`, or discards metrics if there is no address.
 ///
 /// # Errors
-/// The system's, if no UDP socket can be had.
+/// The I/O error if the UDP socket cannot be opened.
 pub fn client(statsd: Option<SocketAddr>) -> std::io::Result<StatsdClient> {
     let Some(address) = statsd else {
         return Ok(StatsdClient::from_sink(PREFIX, NopMetricSink));
@@ -27,7 +27,7 @@
     Ok(with_sink(sink))
 }
 
-/// A client over any sink.
+/// Creates a client with the given sink.
 pub fn with_sink<S>(sink: S) -> StatsdClient
 where
     S: MetricSink + Sync + Send + std::panic::RefUnwindSafe + 'static,
@@ -35,7 +35,7 @@
     StatsdClient::from_sink(PREFIX, sink)
 }
 
-/// Report what each counter grew by, every second, until the actor is gone.
+/// Reports the increment of each counter every second until the actor ends.
 pub async fn report(client: StatsdClient, counters: watch::Receiver<Counters>) {
     let mut before = Counters::default();
     let mut tick = interval(INTERVAL);
@@ -43,16 +43,16 @@
     while counters.has_changed().is_ok() {
         tick.tick().await;
         let now = *counters.borrow();
-        send_growth(&client, &before, &now);
+        send_increments(&client, &before, &now);
         before = now;
     }
 }
 
-/// Send the growth of each counter that grew.
-pub fn send_growth(client: &StatsdClient, before: &Counters, now: &Counters) {
+/// Sends the increment of each counter that has increased.
+pub fn send_increments(client: &StatsdClient, before: &Counters, now: &Counters) {
     for ((name, before), (_, now)) in before.each().zip(now.each()) {
         if now > before {
-            // Metrics are sent at best effort; a full socket buffer loses one.
+            // Metrics are best effort: a full socket buffer drops one.
             client.count(name, now - before).ok();
         }
     }
--- a/reachtally-daemon/src/operator/auth.rs
+++ b/reachtally-daemon/src/operator/auth.rs
@@ -1,4 +1,4 @@
-//! Which operator asks, and what it may do.
+//! Authentication and authorization of operators.
 
 use reachtally_config::keys;
 use reachtally_config::settings::Role;
@@ -9,17 +9,17 @@
 
 /// An operator with a valid key.
 pub struct Authorized {
-    /// The name the audit trail shows.
+    /// Name that is recorded in the audit trail.
     pub name: String,
     role: Role,
 }
 
 impl Authorized {
-    /// Check that the operator has at least `role`.
+    /// Checks that the operator has at least `role`.
     ///
     /// # Errors
-    /// A refusal that names the role.
-    pub fn needs(&self, role: Role) -> Result<(), Failed> {
+    /// A failure that names the required role.
+    pub fn require(&self, role: Role) -> Result<(), Failed> {
         if self.role >= role {
             return Ok(());
         }
@@ -47,11 +47,11 @@
         .get_one("Authorization")?
         .strip_prefix("Bearer ")?;
     let hash = keys::hash(key);
-    let fits = |hash: &str, known: &str| keys::matches(hash, [known]);
+    let matches = |hash: &str, known: &str| keys::matches(hash, [known]);
     let found: Vec<_> = shared
         .operators
         .iter()
-        .filter(|operator| fits(&hash, &operator.hash))
+        .filter(|operator| matches(&hash, &operator.hash))
         .collect();
     let operator = found.first()?;
     Some(Authorized {
--- a/reachtally-daemon/src/operator/mod.rs
+++ b/reachtally-daemon/src/operator/mod.rs
@@ -1,4 +1,4 @@
-//! The listener for operators.
+//! HTTP listener for operators.
 
 pub mod auth;
 pub mod tables;
@@ -22,29 +22,29 @@
 use crate::publish;
 use crate::view::View;
 
-/// How long a publication waits to be folded here.
+/// Maximum time to wait until this daemon has folded a published operation.
 const FOLD_WAIT: Duration = Duration::from_secs(5);
 
-/// What the routes share.
+/// State shared by the routes.
 pub struct Shared {
-    /// The actor.
+    /// Handle of the actor.
     pub handle: Handle,
-    /// What the actor publishes.
+    /// The view that the actor publishes.
     pub view: watch::Receiver<View>,
-    /// The operators.
+    /// The operators with their roles and key hashes.
     pub operators: Vec<Operator>,
-    /// The log.
+    /// Client for the platform's log.
     pub platform: HttpPlatform,
 }
 
-/// Add the operators' routes.
+/// Mounts the operators' routes.
 pub fn mount(rocket: Rocket<Build>, shared: Shared) -> Rocket<Build> {
     rocket
         .manage(shared)
         .mount("/v1", routes![command, apply, counters, ended])
 }
 
-/// A failed answer.
+/// An error response.
 pub type Failed = (Status, Json<Problem>);
 
 fn failed(status: Status, message: impl Into<String>) -> Failed {
@@ -76,7 +76,7 @@
     name: &str,
     change: EditChange,
 ) -> Result<Json<CommandAnswer>, Failed> {
-    operator.needs(Role::Operate)?;
+    operator.require(Role::Operate)?;
     let config = config(shared).await?;
     let kind = if config.get(Kind::Engine, name).is_some() {
         Kind::Engine
@@ -104,7 +104,7 @@
     operator: Authorized,
     shared: &State<Shared>,
 ) -> Result<Json<Published>, Failed> {
-    operator.needs(Role::Admin)?;
+    operator.require(Role::Admin)?;
     let config = config(shared).await?;
     let edits = config.edits(objects.into_inner());
     publish(shared, &operator, edits).await.map(Json)
@@ -133,7 +133,7 @@
         .await
         .map_err(append_failed)?;
     published.offset = Some(offset);
-    published.folded = folded(shared, offset).await;
+    published.folded = wait_folded(shared, offset).await;
     Ok(published)
 }
 
@@ -145,7 +145,8 @@
     failed(Status::ServiceUnavailable, message)
 }
 
-async fn folded(shared: &Shared, offset: u64) -> bool {
+/// Waits until the operation at `offset` is folded; `false` on timeout.
+async fn wait_folded(shared: &Shared, offset: u64) -> bool {
     let mut view = shared.view.clone();
     let reached = view.wait_for(|view| view.config_next > offset);
     matches!(tokio::time::timeout(FOLD_WAIT, reached).await, Ok(Ok(_)))
@@ -159,11 +160,11 @@
 }
 
 async fn query(shared: &Shared, query: Query) -> Result<Answer, Failed> {
-    let gone = || failed(Status::ServiceUnavailable, "the daemon is stopping");
+    let stopping = || failed(Status::ServiceUnavailable, "the daemon is stopping");
     let (tx, rx) = oneshot::channel();
     let message = Message::Query { query, answer: tx };
-    shared.handle.send(message).map_err(|_| gone())?;
-    rx.await.map_err(|_| gone())
+    shared.handle.send(message).map_err(|_| stopping())?;
+    rx.await.map_err(|_| stopping())
 }
 
 #[get("/counters")]
--- a/reachtally-daemon/src/operator/tables.rs
+++ b/reachtally-daemon/src/operator/tables.rs
@@ -1,4 +1,4 @@
-//! The tables that queries show.
+//! Tables for operator queries.
 
 use std::collections::VecDeque;
 
@@ -9,7 +9,7 @@
 
 use crate::ended::Ended;
 
-/// The table of one subject.
+/// Builds the table for a subject.
 pub fn show(world: &World, ended: &VecDeque<Ended>, subject: Subject, now: Instant) -> Table {
     match subject {
         Subject::Targets => targets(world),
@@ -37,7 +37,7 @@
         };
         table.push(vec![
             target.name.clone(),
-            dash(&target.box_name),
+            or_dash(&target.box_name),
             serves,
             layers,
             state(target).to_owned(),
@@ -48,7 +48,8 @@
     table
 }
 
-fn dash(text: &str) -> String {
+/// Replaces an empty text by a dash.
+fn or_dash(text: &str) -> String {
     if text.is_empty() {
         "-".to_owned()
     } else {
@@ -80,7 +81,7 @@
     for (name, state) in world.domains().iter() {
         let (steward, fence) = match state.lease {
             Some(lease) => (format!("{:x}", lease.holder.0), lease.fence.to_string()),
-            None => (dash(""), dash("")),
+            None => (or_dash(""), or_dash("")),
         };
         let behind = world.config.next().saturating_sub(state.confirmed);
         let own = world.me().domain == name && world.is_steward(now);
@@ -90,7 +91,11 @@
             fence,
             state.confirmed.to_string(),
             behind.to_string(),
-            if own { "steward".to_owned() } else { dash("") },
+            if own {
+                "steward".to_owned()
+            } else {
+                or_dash("")
+            },
         ]);
     }
     table
@@ -103,7 +108,7 @@
         let state = if member.stopping { "stopping" } else { "live" };
         table.push(vec![
             member.box_name.clone(),
-            dash(&member.address),
+            or_dash(&member.address),
             member.config_next.to_string(),
             state.to_owned(),
         ]);
@@ -130,8 +135,8 @@
                 name.to_owned(),
                 world.running_requests(name).to_string(),
                 account.max_running.to_string(),
-                dash(&account.models.join(",")),
-                dash(&account.services.join(",")),
+                or_dash(&account.models.join(",")),
+                or_dash(&account.services.join(",")),
             ]);
         }
     }
--- a/reachtally-daemon/src/peers.rs
+++ b/reachtally-daemon/src/peers.rs
@@ -13,31 +13,31 @@
 
 use crate::actor::{self, Answer, Handle, Query};
 
-/// Time that a connection may take for its message and answer.
-const CONNECTION_TIME: Duration = Duration::from_secs(5);
-/// Wait after a connection could not be accepted.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(100);
+/// Timeout for the message and response of a connection.
+const CONNECTION_TIMEOUT: Duration = Duration::from_secs(5);
+/// Delay after a failed accept.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(100);
 
-/// Take messages until the actor is gone.
+/// Accepts connections until the actor ends.
 pub async fn listen(listener: TcpListener, handle: Handle) {
     while !handle.is_closed() {
         match listener.accept().await {
             Ok((stream, _)) => {
                 tokio::spawn(serve(stream, handle.clone()));
             }
-            Err(_) => sleep(ACCEPT_PAUSE).await,
+            Err(_) => sleep(ACCEPT_RETRY_DELAY).await,
         }
     }
 }
 
 async fn serve(stream: TcpStream, handle: Handle) {
-    // A connection that takes too long is dropped; digests come again.
-    timeout(CONNECTION_TIME, converse(link(stream), handle))
+    // Slow connections are dropped. Digests are sent periodically, so nothing is lost for good.
+    timeout(CONNECTION_TIMEOUT, handle_message(link(stream), handle))
         .await
         .ok();
 }
 
-async fn converse(mut link: Link, handle: Handle) {
+async fn handle_message(mut link: Link, handle: Handle) {
     let Some(Ok(message)) = link.next().await else {
         return;
     };
@@ -47,7 +47,7 @@
         Message::Snapshot(config) => Event::PeerConfig(PeerConfig::Snapshot(config)),
         Message::Pull(next) => {
             if let Some(answer) = config_for(next, &handle).await {
-                // The other daemon asks again if it does not get it.
+                // The other daemon repeats its request if the response is lost.
                 link.send(answer).await.ok();
             }
             return;
--- a/reachtally-daemon/src/perform.rs
+++ b/reachtally-daemon/src/perform.rs
@@ -1,4 +1,4 @@
-//! Carrying effects out: each becomes a task that reports back with an event.
+//! Execution of effects. Each effect runs as a task that reports its result as an event.
 
 use std::time::Duration;
 
@@ -23,29 +23,29 @@
 use crate::actor::{self, Handle};
 use crate::follow;
 
-/// Time after which the task of an engine call ends. The core gives the call up long before, by its
-/// adaptive time-out; this only bounds the tasks that hang.
-const STEPS_CAP: Duration = Duration::from_secs(60);
+/// Upper bound on the run time of an engine call's task. The core abandons the call much earlier, by its
+/// adaptive timeout; this only ends tasks that hang.
+const STEPS_TASK_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// Carries effects out.
+/// Executes effects.
 pub struct Performer {
-    /// Reports back here.
+    /// Receives the resulting events.
     pub handle: Handle,
-    /// The targets.
+    /// HTTP client for the targets.
     pub targets: HttpTargets,
-    /// The platform.
+    /// HTTP client for the platform.
     pub platform: HttpPlatform,
-    /// Time after which a service call's task ends; the request's deadline comes first.
+    /// Timeout of a service call's task. The request's deadline expires first.
     pub patience: Duration,
 }
 
 fn report(handle: &Handle, event: Event) {
-    // The actor is gone only when the daemon is.
+    // Sending fails only once the daemon has stopped.
     handle.send(actor::Message::Event(event)).ok();
 }
 
-/// What the first of `peers` that answers gives from `next` on.
-async fn ask_peers(next: u64, peers: &[String]) -> Option<PeerConfig> {
+/// Requests the configuration records from `next` on from each of `peers` in turn, until one responds.
+async fn pull_from_any(next: u64, peers: &[String]) -> Option<PeerConfig> {
     for peer in peers {
         if let Some(config) = pull_from(peer, next).await {
             return Some(config);
@@ -63,11 +63,11 @@
 }
 
 impl Performer {
-    /// Send steps to an engine.
+    /// Sends steps to an engine.
     pub fn steps(&self, call: CallKey, url: String, batch: Batch) {
         let (handle, targets) = (self.handle.clone(), self.targets.clone());
         tokio::spawn(async move {
-            let result = timeout(STEPS_CAP, targets.steps(&url, batch)).await;
+            let result = timeout(STEPS_TASK_TIMEOUT, targets.steps(&url, batch)).await;
             let event = match result.unwrap_or(Err(CallFailure::Lost)) {
                 Ok(results) => Event::StepsDone { call, results },
                 Err(failure) => Event::StepsFailed { call, failure },
@@ -76,7 +76,7 @@
         });
     }
 
-    /// Call a service instance.
+    /// Calls a service instance.
     pub fn call(
         &self,
         request: RequestKey,
@@ -99,7 +99,7 @@
         });
     }
 
-    /// Move a request's KV from one engine to another, `(from, to)`.
+    /// Transfers a request's KV cache between two engines; `urls` is `(from, to)`.
     pub fn move_kv(
         &self,
         request: RequestKey,
@@ -119,7 +119,7 @@
         });
     }
 
-    /// Probe a target.
+    /// Probes a target.
     pub fn probe(&self, target: TargetKey, url: String) {
         let (handle, targets) = (self.handle.clone(), self.targets.clone());
         tokio::spawn(async move {
@@ -128,31 +128,31 @@
         });
     }
 
-    /// Send a message to another daemon. Nothing rests on its arrival.
+    /// Sends a message to another daemon without confirmation. Correctness does not depend on delivery.
     pub fn send_message(&self, to: String, message: Message) {
         tokio::spawn(async move {
             link::send_message(&to, message).await.ok();
         });
     }
 
-    /// Ask another daemon for configuration records.
+    /// Requests configuration records from another daemon.
     pub fn pull(&self, from: String, next: u64) {
         let handle = self.handle.clone();
         tokio::spawn(async move {
-            // Without an answer the next digest leads to another try.
+            // Without a response, the next digest triggers another attempt.
             if let Some(config) = pull_from(&from, next).await {
                 report(&handle, Event::PeerConfig(config));
             }
         });
     }
 
-    /// Ask the log, or else each of `peers`, for configuration records from `next` on.
+    /// Reads the configuration records from `next` on from the log or, if that fails, from one of `peers`.
     pub fn revalidate(&self, nonce: u64, next: u64, peers: Vec<String>) {
         let (handle, platform) = (self.handle.clone(), self.platform.clone());
         tokio::spawn(async move {
             let answer = match platform.read(CONFIG_STREAM, next, 0).await {
                 Ok(page) => Some(Event::ConfigRead(follow::operations(page.records))),
-                Err(_) => ask_peers(next, &peers).await.map(Event::PeerConfig),
+                Err(_) => pull_from_any(next, &peers).await.map(Event::PeerConfig),
             };
             if let Some(event) = answer {
                 report(&handle, event);
@@ -161,20 +161,20 @@
         });
     }
 
-    /// Append to the stream of failure domains.
+    /// Appends a record to the stream of failure domains.
     pub fn append_domain(&self, record: &DomainRecord) {
         let (handle, platform) = (self.handle.clone(), self.platform.clone());
         let data = serde_json::to_value(record);
         tokio::spawn(async move {
             if let Ok(data) = data {
-                // Lost or not, what counts is what the stream shows.
+                // The result is ignored: the record takes effect when it is read from the stream.
                 platform.append(DOMAINS_STREAM, data).await.ok();
             }
             report(&handle, Event::DomainAppended);
         });
     }
 
-    /// Append a snapshot of the configuration.
+    /// Appends a snapshot of the configuration.
     pub fn write_snapshot(&self, config: &Config) {
         let platform = self.platform.clone();
         let data = serde_json::to_value(config);
@@ -182,13 +182,13 @@
             if let Ok(data) = data
                 && platform.append(SNAPSHOTS_STREAM, data).await.is_err()
             {
-                warn!("a snapshot of the configuration was not confirmed");
+                warn!("append of a configuration snapshot was not confirmed");
             }
         });
     }
 
-    /// Ask an engine what it holds.
-    pub fn ask_report(&self, target: TargetKey, url: String) {
+    /// Requests a report of an engine's state.
+    pub fn request_report(&self, target: TargetKey, url: String) {
         let (handle, targets) = (self.handle.clone(), self.targets.clone());
         tokio::spawn(async move {
             if let Some(reported) = targets.report(&url).await {
@@ -201,7 +201,7 @@
         });
     }
 
-    /// Give an engine an order. It is given again until the engine reports that it was followed.
+    /// Sends an order to an engine. The core repeats it until the engine reports that it was executed.
     pub fn order(&self, url: String, fence: u64, order: Order) {
         let targets = self.targets.clone();
         tokio::spawn(async move {
@@ -209,7 +209,7 @@
         });
     }
 
-    /// Append a claim record to the log.
+    /// Appends a claim record to the log.
     pub fn append(&self, seq: u64, record: &ClaimRecord) {
         let (handle, platform) = (self.handle.clone(), self.platform.clone());
         let data = serde_json::to_value(record);
--- a/reachtally-daemon/src/run.rs
+++ b/reachtally-daemon/src/run.rs
@@ -1,4 +1,4 @@
-//! Putting a daemon together, and taking it down without cutting a request.
+//! Startup and graceful shutdown of a daemon.
 
 use std::net::SocketAddr;
 
@@ -23,15 +23,15 @@
 use crate::view::{Readiness, View};
 use crate::{follow, metrics, operator, peers};
 
-/// Seconds that a stop gives the last answers to be written out.
-const WRITE_OUT_S: u32 = 5;
+/// Grace period of the callers' listener on shutdown for writing the last responses, in seconds.
+const FLUSH_GRACE_S: u32 = 5;
 
 /// Why a daemon did not start.
 #[derive(Debug)]
 pub enum StartError {
     /// An HTTP client could not be set up.
     Client,
-    /// The metrics' socket could not be had.
+    /// The UDP socket for metrics could not be opened.
     Metrics,
     /// A listener could not be started.
     Listen(&'static str),
@@ -60,17 +60,17 @@
     tasks: Vec<JoinHandle<()>>,
 }
 
-/// What distinguishes one run of a daemon from all others.
+/// Identity of one run of a daemon.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Identity {
-    /// Names the run in the log and towards engines.
+    /// Identifies the run in the log and to engines.
     pub incarnation: Incarnation,
-    /// Drives its random choices.
+    /// Seed of its random number generator.
     pub seed: u64,
 }
 
 impl Identity {
-    /// A random identity. Two runs share an incarnation with a probability of 2^-64.
+    /// Generates a random identity. Two runs share an incarnation with a probability of 2^-64.
     pub fn random() -> Self {
         Identity {
             incarnation: Incarnation(rand::random()),
@@ -79,7 +79,7 @@
     }
 }
 
-/// Start a daemon.
+/// Starts a daemon.
 ///
 /// # Errors
 /// [`StartError`] with its cause.
@@ -114,7 +114,7 @@
         let address = peers
             .local_addr()
             .change_context(StartError::Listen("peers"))?;
-        world.join(me(&settings, address), Instant::ZERO);
+        world.join(own_member(&settings, address), Instant::ZERO);
     }
     let actor = Actor::new(world, Clock::start(boot_clock()), rx, performer, published);
     let mut tasks = vec![
@@ -149,8 +149,8 @@
     })
 }
 
-/// What the daemon tells other daemons of itself.
-fn me(settings: &Settings, address: SocketAddr) -> MemberState {
+/// The initial state that the daemon gossips about itself.
+fn own_member(settings: &Settings, address: SocketAddr) -> MemberState {
     MemberState {
         box_name: settings.box_name.clone(),
         domain: settings.domain.clone(),
@@ -184,7 +184,7 @@
         open: open.clone(),
     };
     let options = Listen {
-        grace_s: WRITE_OUT_S,
+        grace_s: FLUSH_GRACE_S,
         ..Listen::at(settings.callers)
     };
     reachtally_listen::start(options, |rocket| caller::mount(rocket, shared))
@@ -211,20 +211,20 @@
 }
 
 impl Daemon {
-    /// Where callers connect.
+    /// Listen address for callers.
     pub fn callers(&self) -> SocketAddr {
         self.callers.address
     }
 
-    /// Where operators connect.
+    /// Listen address for operators.
     pub fn operators(&self) -> SocketAddr {
         self.operators.address
     }
 
-    /// Wait until the daemon has read a configuration and the claims, and serves everything.
+    /// Waits until the daemon has read a configuration and the claims and serves all requests.
     pub async fn ready(&self) {
         let mut view = self.view.clone();
-        // The sender lives as long as the actor; a daemon without one never gets ready.
+        // The sender lives as long as the actor; a daemon without an actor never becomes ready.
         view.wait_for(|view| {
             view.readiness == Readiness::Ready && view.claims_ready && view.config_next > 0
         })
@@ -232,7 +232,7 @@
         .ok();
     }
 
-    /// Ask something of the world; nothing if the actor is gone.
+    /// Queries the world; `None` if the actor has ended.
     pub async fn query(&self, query: Query) -> Option<Answer> {
         let (tx, rx) = oneshot::channel();
         self.handle
@@ -241,19 +241,19 @@
         rx.await.ok()
     }
 
-    /// Stop without cutting a request: show not ready, then admit nothing more, wait for every
-    /// request to end and its answer to be written, then close the listeners.
+    /// Shuts down gracefully: reports not ready, then stops admitting requests, waits until every
+    /// request has ended and its response is written, and closes the listeners.
     pub async fn stop(self) {
-        info!("daemon stops: not ready any more");
+        info!("daemon stopping: reporting not ready");
         self.handle.send(Message::PrepareStop).ok();
         sleep(self.stop_notice).await;
         self.handle.send(Message::Event(Event::Stop)).ok();
         let (tx, rx) = oneshot::channel();
-        self.handle.send(Message::WhenIdle(tx)).ok();
-        // The actor ends only below.
+        self.handle.send(Message::NotifyIdle(tx)).ok();
+        // The actor runs until its task is aborted below.
         rx.await.ok();
         self.open.drained().await;
-        info!("daemon stops: every request has ended");
+        info!("daemon stopping: all requests have ended");
         self.callers.stop().await;
         self.operators.stop().await;
         for task in self.tasks {
--- a/reachtally-daemon/src/standalone.rs
+++ b/reachtally-daemon/src/standalone.rs
@@ -1,4 +1,4 @@
-//! A daemon with embedded stand-ins of everything around it.
+//! A daemon with embedded stand-ins for the platform, the engines and the services.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -19,44 +19,44 @@
 use crate::publish;
 use crate::run::{Daemon, Identity, start};
 
-/// The key of the embedded account.
+/// API key of the embedded account.
 pub const CALLER_KEY: &str = "demo";
-/// The key of the embedded operator.
+/// API key of the embedded operator.
 pub const OPERATOR_KEY: &str = "operator";
-/// The embedded model.
+/// Name of the embedded model.
 pub const MODEL: &str = "demo";
-/// The embedded adapter.
+/// Name of the embedded adapter.
 pub const ADAPTER: &str = "demo-quotes";
-/// Layers of the embedded model.
+/// Number of layers of the embedded model.
 pub const LAYERS: u32 = 24;
-/// Stages of each chain.
+/// Number of stages of each chain.
 pub const STAGES: u32 = 3;
-/// Engines of each stage.
+/// Number of engines per stage.
 pub const REPLICAS: u32 = 2;
-/// Requests one embedded engine holds.
+/// Concurrent requests per embedded engine.
 const SLOTS: u32 = 512;
 
-/// What to embed.
+/// Options of a standalone daemon.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Options {
-    /// Where callers connect.
+    /// Listen address for callers.
     pub callers: SocketAddr,
-    /// Where operators connect.
+    /// Listen address for operators.
     pub operators: SocketAddr,
     /// Step-time model of every engine.
     pub step_time: StepTime,
-    /// Bounds of the daemon.
+    /// Limits of the daemon.
     pub limits: Limits,
-    /// The daemon's identity.
+    /// Identity of the daemon.
     pub identity: Identity,
 }
 
 impl Default for Options {
     fn default() -> Self {
-        let any = SocketAddr::from(([127, 0, 0, 1], 0));
+        let ephemeral = SocketAddr::from(([127, 0, 0, 1], 0));
         Options {
-            callers: any,
-            operators: any,
+            callers: ephemeral,
+            operators: ephemeral,
             step_time: StepTime {
                 base: Duration::from_millis(5),
                 per_layer: Duration::from_micros(50),
@@ -67,7 +67,7 @@
     }
 }
 
-/// Why the stand-ins did not start.
+/// Why a standalone daemon did not start.
 #[derive(Debug)]
 pub enum StandaloneError {
     /// A stand-in could not listen.
@@ -90,7 +90,7 @@
 
 impl std::error::Error for StandaloneError {}
 
-/// A daemon and what is around it.
+/// A daemon and its stand-ins.
 pub struct Standalone {
     /// The daemon.
     pub daemon: Daemon,
@@ -100,13 +100,13 @@
     pub list: List,
     /// The engines by name.
     pub engines: Vec<(String, Engine)>,
-    /// The service `orders`, whose calls may not be repeated.
+    /// The service `orders`, whose calls must not be repeated.
     pub orders: Service,
     /// The service `lookup`, whose calls may be repeated.
     pub lookup: Service,
 }
 
-/// Start stand-ins, declare them, and start a daemon before them.
+/// Starts the stand-ins, declares them in the configuration and starts a daemon that routes to them.
 ///
 /// # Errors
 /// [`StandaloneError`] with its cause.
--- a/reachtally-daemon/src/view.rs
+++ b/reachtally-daemon/src/view.rs
@@ -1,4 +1,4 @@
-//! What the listeners may know of the world, published by the task that owns it.
+//! Read-only view of the world for the listeners, published by the actor.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -7,32 +7,32 @@
 use reachtally_core::World;
 use reachtally_core::declare::{Account, Kind, Object};
 
-/// Whether the daemon can serve, and if not, why.
+/// Readiness of the daemon.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Readiness {
-    /// It serves.
+    /// The daemon serves requests.
     Ready,
-    /// It has not read the configuration yet.
+    /// The configuration has not been read yet.
     NoConfig,
-    /// It is stopping.
+    /// The daemon is shutting down.
     Stopping,
 }
 
-/// A snapshot for the listeners.
+/// A snapshot of the world for the listeners.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct View {
-    /// Whether the daemon can serve.
+    /// Readiness of the daemon.
     pub readiness: Readiness,
-    /// Whether requests with an idempotency key are taken.
+    /// Whether requests with an idempotency key are accepted.
     pub claims_ready: bool,
-    /// The configuration offset reached, the number of records folded.
+    /// Next configuration offset: the number of records folded so far.
     pub config_next: u64,
     /// Client accounts by name.
     pub accounts: Arc<BTreeMap<String, Account>>,
 }
 
 impl View {
-    /// A view before anything was read.
+    /// The view before any configuration has been read.
     pub fn empty() -> Self {
         View {
             readiness: Readiness::NoConfig,
@@ -42,7 +42,7 @@
         }
     }
 
-    /// The view of `world`.
+    /// Takes a snapshot of `world`.
     pub fn of(world: &World, readiness: Readiness) -> Self {
         let accounts = world.config.of(Kind::Account).filter_map(|(name, entry)| {
             let Object::Account(account) = &entry.object else {
@@ -58,14 +58,14 @@
         }
     }
 
-    /// The account that a key belongs to. Every stored hash is compared, so the time taken does not
-    /// tell which one fits.
-    pub fn account_of_key(&self, key: &str) -> Option<&Account> {
+    /// Returns the account that a key belongs to. Compares the key with all stored hashes, so that the
+    /// time taken does not reveal which one matches.
+    pub fn account_for_key(&self, key: &str) -> Option<&Account> {
         let hash = keys::hash(key);
-        let fits = |account: &&Account| {
+        let matches = |account: &&Account| {
             keys::matches(&hash, account.key_hashes.iter().map(String::as_str))
         };
-        let found: Vec<&Account> = self.accounts.values().filter(fits).collect();
+        let found: Vec<&Account> = self.accounts.values().filter(matches).collect();
         found.first().copied()
     }
 }
--- a/reachtally-daemon/tests/daemon/metrics.rs
+++ b/reachtally-daemon/tests/daemon/metrics.rs
@@ -2,7 +2,7 @@
 
 use cadence::SpyMetricSink;
 use reachtally_core::counters::Counters;
-use reachtally_daemon::metrics::{send_growth, with_sink};
+use reachtally_daemon::metrics::{send_increments, with_sink};
 
 #[test]
 fn only_what_grew_is_sent() {
@@ -17,7 +17,7 @@
         stages_shifted: 1,
         ..Counters::default()
     };
-    send_growth(&client, &before, &now);
+    send_increments(&client, &before, &now);
     let sent: Vec<String> = rx
         .try_iter()
         .map(|bytes| String::from_utf8(bytes).expect("StatsD is text"))
