--- a/reachtally-daemon/tests/daemon/bad_input.rs
+++ b/reachtally-daemon/tests/daemon/bad_input.rs
@@ -1,4 +1,4 @@
-//! Bad input: one clear error each, the outcome not-run, and the daemon goes on.
+//! Invalid input gets a specific error with the outcome `not-run`, and the daemon keeps serving.
 
 use std::time::Duration;
 
--- a/reachtally-daemon/tests/daemon/check.rs
+++ b/reachtally-daemon/tests/daemon/check.rs
@@ -1,4 +1,4 @@
-//! `reachtallyd check` and `run` with bad settings.
+//! `reachtallyd check` and `run` with invalid settings.
 
 use std::path::PathBuf;
 use std::process::{Command, Output};
--- a/reachtally-daemon/tests/daemon/follow.rs
+++ b/reachtally-daemon/tests/daemon/follow.rs
@@ -1,4 +1,4 @@
-//! Following the claim stream where the log keeps less than the claim window.
+//! Following the claim stream when the log's retention is shorter than the claim window.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -35,17 +35,18 @@
         .expect("the log takes it");
 }
 
-/// The last word on whether the claims are whole, if there was one.
-fn last_word(rx: &mut mpsc::UnboundedReceiver<Message>) -> Option<bool> {
-    let mut word = None;
+/// Drains the events and returns the last reported claim coverage: `true` if complete, `None` if no
+/// event reported it.
+fn last_completeness(rx: &mut mpsc::UnboundedReceiver<Message>) -> Option<bool> {
+    let mut complete = None;
     while let Ok(message) = rx.try_recv() {
         match message {
-            Message::Event(Event::ClaimsCaughtUp) => word = Some(true),
-            Message::Event(Event::ClaimsGap | Event::ClaimLogRestored) => word = Some(false),
+            Message::Event(Event::ClaimsCaughtUp) => complete = Some(true),
+            Message::Event(Event::ClaimsGap | Event::ClaimLogRestored) => complete = Some(false),
             _ => {}
         }
     }
-    word
+    complete
 }
 
 #[tokio::test(start_paused = true)]
@@ -55,7 +56,7 @@
     let (tx, mut rx) = mpsc::unbounded_channel();
     tokio::spawn(follow::claims(log, tx, WINDOW, RUN));
     sleep(Duration::from_secs(1)).await;
-    assert_eq!(last_word(&mut rx), Some(true));
+    assert_eq!(last_completeness(&mut rx), Some(true));
 }
 
 #[tokio::test(start_paused = true)]
@@ -67,18 +68,18 @@
     let (tx, mut rx) = mpsc::unbounded_channel();
     tokio::spawn(follow::claims(log.clone(), tx, WINDOW, RUN));
     sleep(Duration::from_secs(1)).await;
-    assert_eq!(last_word(&mut rx), Some(false));
+    assert_eq!(last_completeness(&mut rx), Some(false));
     sleep(WINDOW / 2).await;
     append(&log).await;
     sleep(Duration::from_secs(1)).await;
-    assert_eq!(last_word(&mut rx), None);
+    assert_eq!(last_completeness(&mut rx), None);
     sleep(WINDOW).await;
     append(&log).await;
     sleep(Duration::from_secs(1)).await;
-    assert_eq!(last_word(&mut rx), Some(true));
+    assert_eq!(last_completeness(&mut rx), Some(true));
 }
 
-/// A log that a daemon can be cut off from.
+/// A log whose reads can be made to fail.
 #[derive(Clone)]
 struct CutLog {
     log: MemoryLog,
@@ -108,19 +109,20 @@
     let (tx, mut rx) = mpsc::unbounded_channel();
     tokio::spawn(follow::claims(reached.clone(), tx, WINDOW, RUN));
     sleep(Duration::from_secs(1)).await;
-    assert_eq!(last_word(&mut rx), Some(true));
+    assert_eq!(last_completeness(&mut rx), Some(true));
     reached.cut.store(true, Ordering::SeqCst);
-    // The read that waits already ends within its second.
+    // The long poll in progress ends within one second.
     sleep(Duration::from_secs(2)).await;
     for _ in 0..8 {
         append(&reached.log).await;
     }
     reached.cut.store(false, Ordering::SeqCst);
     sleep(Duration::from_secs(1)).await;
-    assert_eq!(last_word(&mut rx), Some(false));
+    assert_eq!(last_completeness(&mut rx), Some(false));
 }
 
-/// Claims of the lost seconds are unknown to all, so that no key is taken until they are as old as the window.
+/// A restore loses the claims made after the copy, so keys must not be accepted until the window has
+/// passed since the restore.
 #[tokio::test(start_paused = true)]
 async fn after_a_return_from_a_copy_the_window_passes_before_keys_are_taken_again() {
     let log = log(1000);
@@ -129,30 +131,30 @@
     let (tx, mut rx) = mpsc::unbounded_channel();
     tokio::spawn(follow::claims(log.clone(), tx, WINDOW, RUN));
     sleep(Duration::from_secs(1)).await;
-    assert_eq!(last_word(&mut rx), Some(true));
+    assert_eq!(last_completeness(&mut rx), Some(true));
     log.restore(CLAIMS_STREAM, 1);
     sleep(Duration::from_secs(2)).await;
-    assert_eq!(last_word(&mut rx), Some(false));
-    // A daemon that starts now is told by the record that the first one left.
+    assert_eq!(last_completeness(&mut rx), Some(false));
+    // A daemon that starts now learns of the restore from the record that the first daemon appended.
     let (tx, mut fresh) = mpsc::unbounded_channel();
     tokio::spawn(follow::claims(log.clone(), tx, WINDOW, Incarnation(2)));
     sleep(WINDOW / 2).await;
     append(&log).await;
     sleep(Duration::from_secs(1)).await;
     assert_eq!(
-        (last_word(&mut rx), last_word(&mut fresh)),
+        (last_completeness(&mut rx), last_completeness(&mut fresh)),
         (None, Some(false))
     );
     sleep(WINDOW).await;
     append(&log).await;
     sleep(Duration::from_secs(1)).await;
     assert_eq!(
-        (last_word(&mut rx), last_word(&mut fresh)),
+        (last_completeness(&mut rx), last_completeness(&mut fresh)),
         (Some(true), Some(true))
     );
 }
 
-/// All daemons start after the return: nobody saw it.
+/// All daemons start after the restore, so none of them observed it.
 #[tokio::test(start_paused = true)]
 async fn a_daemon_that_starts_after_a_return_that_nobody_saw_waits_too() {
     let log = log(1000);
@@ -162,9 +164,9 @@
     let (tx, mut rx) = mpsc::unbounded_channel();
     tokio::spawn(follow::claims(log.clone(), tx, WINDOW, RUN));
     sleep(WINDOW / 2).await;
-    assert_eq!(last_word(&mut rx), Some(false));
+    assert_eq!(last_completeness(&mut rx), Some(false));
     sleep(WINDOW).await;
     append(&log).await;
     sleep(Duration::from_secs(1)).await;
-    assert_eq!(last_word(&mut rx), Some(true));
+    assert_eq!(last_completeness(&mut rx), Some(true));
 }
--- a/reachtally-daemon/tests/daemon/lifecycle.rs
+++ b/reachtally-daemon/tests/daemon/lifecycle.rs
@@ -1,4 +1,4 @@
-//! Stops that cut nothing, callers that hang up, readiness.
+//! Graceful shutdown, callers that disconnect, and readiness.
 
 use std::time::Duration;
 
@@ -8,11 +8,11 @@
 use crate::setup::{post, start, url};
 
 const BODY: &str = r#"{"model": "demo", "prompt": "a b c", "max_tokens": 20, "stream": true}"#;
-/// Times a condition is looked at before the test gives up.
-const TRIES: u32 = 500;
+/// Number of times a condition is polled before the test fails.
+const MAX_POLLS: u32 = 500;
 
 async fn eventually(what: &str, mut holds: impl FnMut() -> bool) {
-    for _ in 0..TRIES {
+    for _ in 0..MAX_POLLS {
         if holds() {
             return;
         }
--- a/reachtally-daemon/tests/daemon/metrics.rs
+++ b/reachtally-daemon/tests/daemon/metrics.rs
@@ -1,4 +1,4 @@
-//! Counters become StatsD counts.
+//! Export of counters to StatsD.
 
 use cadence::SpyMetricSink;
 use reachtally_core::counters::Counters;
--- a/reachtally-daemon/tests/daemon/operators.rs
+++ b/reachtally-daemon/tests/daemon/operators.rs
@@ -1,4 +1,4 @@
-//! The listener for operators.
+//! HTTP listener for operators.
 
 use std::time::Duration;
 
--- a/reachtally-daemon/tests/daemon/sessions.rs
+++ b/reachtally-daemon/tests/daemon/sessions.rs
@@ -1,4 +1,4 @@
-//! Golden files of whole sessions.
+//! Snapshot tests of complete sessions.
 
 use std::time::Duration;
 
@@ -6,11 +6,11 @@
 
 use crate::setup::{post, session, start, url};
 
-const QUICK: Duration = Duration::ZERO;
+const INSTANT: Duration = Duration::ZERO;
 
 #[tokio::test]
 async fn plain_answer() {
-    let setup = start(QUICK).await;
+    let setup = start(INSTANT).await;
     let text = r#"{"model": "demo", "prompt": "draft a service report", "max_tokens": 8}"#;
     let chat = r#"{"model": "demo", "max_tokens": 4,
         "messages": [{"role": "user", "content": "draft a quote"}]}"#;
@@ -28,7 +28,7 @@
 
 #[tokio::test]
 async fn streamed_answer() {
-    let setup = start(QUICK).await;
+    let setup = start(INSTANT).await;
     let text = r#"{"model": "demo", "prompt": "list the parts", "max_tokens": 4, "stream": true}"#;
     let chat = r#"{"model": "demo", "max_tokens": 3, "stream": true,
         "messages": [{"role": "system", "content": "be brief"}, {"role": "user", "content": "hi"}]}"#;
@@ -65,7 +65,7 @@
 
 #[tokio::test]
 async fn refusal() {
-    let setup = start(QUICK).await;
+    let setup = start(INSTANT).await;
     for (name, engine) in &setup.engines {
         if name.starts_with("engine-0") {
             engine.fault(Fault::Refuse(1));
@@ -84,7 +84,7 @@
 
 #[tokio::test]
 async fn unknown_outcome() {
-    let setup = start(QUICK).await;
+    let setup = start(INSTANT).await;
     setup.orders.fault(Fault::LoseAnswers(1));
     let order = |body: &str| {
         post(&setup, "/services/orders/new", body).header("Idempotency-Key", "order-1")
@@ -98,7 +98,7 @@
 
 #[tokio::test]
 async fn plain_service() {
-    let setup = start(QUICK).await;
+    let setup = start(INSTANT).await;
     let order = || post(&setup, "/services/orders/new?site=3", "ten pallets");
     let mut golden = session("once", order().header("Idempotency-Key", "order-1")).await;
     golden += &session(
--- a/reachtally-daemon/tests/daemon/setup.rs
+++ b/reachtally-daemon/tests/daemon/setup.rs
@@ -1,4 +1,4 @@
-//! A standalone daemon and sessions written down as text.
+//! Starts a standalone daemon and records sessions as text.
 
 use std::time::Duration;
 
@@ -8,7 +8,7 @@
 use reachtally_standin::engine::StepTime;
 use reqwest::{Client, RequestBuilder, Response};
 
-/// Headers that a session shows.
+/// Response headers included in a recorded session.
 const SHOWN_HEADERS: [&str; 4] = [
     "content-type",
     "reachtally-outcome",
@@ -16,9 +16,9 @@
     "retry-after",
 ];
 
-/// A daemon with a fixed identity before engines that take `base` for an iteration.
+/// Starts a daemon with a fixed identity and engines that take `base` per iteration.
 pub async fn start(base: Duration) -> Standalone {
-    quiet();
+    disable_rocket_logs();
     let options = Options {
         step_time: StepTime {
             base,
@@ -33,13 +33,14 @@
     standalone(options).await.expect("everything starts")
 }
 
-/// Rocket brings a logger of its own where none is set, and logs every request.
-pub fn quiet() {
+/// Installs a logger that discards Rocket's output. Without a logger, Rocket installs its own and logs
+/// every request.
+pub fn disable_rocket_logs() {
     let mut logger = env_logger::builder();
     logger
         .is_test(true)
         .filter_module("rocket", log::LevelFilter::Off);
-    // Another test of this process may have set it already.
+    // Another test in this process may have installed it already.
     logger.try_init().ok();
 }
 
@@ -52,13 +53,13 @@
     req.bearer_auth(CALLER_KEY).body(body.to_owned())
 }
 
-/// Send a request and write the session down.
+/// Sends a request and records the session.
 pub async fn session(title: &str, req: RequestBuilder) -> String {
     let response = req.send().await.expect("the daemon answers");
-    format!("# {title}\n{}", written(response).await)
+    format!("# {title}\n{}", format_response(response).await)
 }
 
-pub async fn written(response: Response) -> String {
+pub async fn format_response(response: Response) -> String {
     let mut text = format!("{}\n", response.status());
     for name in SHOWN_HEADERS {
         if let Some(value) = response.headers().get(name) {
