--- a/reachtally-relay/src/exchange.rs
+++ b/reachtally-relay/src/exchange.rs
@@ -96,8 +96,8 @@
         engine.reported_remote_at = now;
     }
     drop(fleet);
-    relay.apply_statement(&from.run, head.said);
-    if head.said.limit == LimitHeader::Absent && is_from_target(call, &head) {
+    relay.apply_statement(&from.run, head.statement);
+    if head.statement.limit == LimitHeader::Absent && is_from_target(call, &head) {
         relay.target_names_no_limit(&from.run);
     }
     head
--- a/reachtally-relay/src/pace.rs
+++ b/reachtally-relay/src/pace.rs
@@ -11,7 +11,7 @@
 use reachtally_core::forward::fleet::{Engine, EngineKey};
 
 use crate::relay::Relay;
-use crate::store::{Orders, Told};
+use crate::store::{EngineReply, Orders};
 
 /// Minimum time between two queries of an engine, since each costs the engine some time.
 const MIN_QUERY_INTERVAL: Duration = Duration::from_millis(1000);
@@ -53,8 +53,8 @@
     let Some(engine) = relay.fleet.borrow().get(key).cloned() else {
         return;
     };
-    let Told { answer, said } = orders.pace(&engine).await;
-    relay.apply_statement(&engine.entry.run(), said);
+    let EngineReply { answer, statement } = orders.pace(&engine).await;
+    relay.apply_statement(&engine.entry.run(), statement);
     let Some(pace) = answer else {
         return;
     };
--- a/reachtally-relay/src/steward.rs
+++ b/reachtally-relay/src/steward.rs
@@ -13,7 +13,7 @@
 
 use crate::group::StewardRole;
 use crate::relay::Relay;
-use crate::store::{OrderAnswer, Orders, Told};
+use crate::store::{EngineReply, OrderAnswer, Orders};
 
 /// Time between two placement runs.
 const PLAN_INTERVAL: Duration = Duration::from_millis(250);
@@ -128,8 +128,8 @@
             continue;
         };
         sent.push(async move {
-            let Told { answer, said } = orders.place(&engine, &placed, permit).await;
-            relay.apply_statement(&engine.entry.run(), said);
+            let EngineReply { answer, statement } = orders.place(&engine, &placed, permit).await;
+            relay.apply_statement(&engine.entry.run(), statement);
             if answer == OrderAnswer::Superseded && role.borrow_mut().superseded(permit) {
                 log::info!(event = "superseded", target = &*engine.entry.id, token:? = permit.token(); "another box has become the steward");
             }
--- a/reachtally-relay/src/store.rs
+++ b/reachtally-relay/src/store.rs
@@ -177,11 +177,11 @@
 
 /// Result of a query or an order, with the engine's statement about itself.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Told<T> {
+pub struct EngineReply<T> {
     /// Result of the query or order.
     pub answer: T,
     /// Statement of the engine about itself.
-    pub said: Statement,
+    pub statement: Statement,
 }
 
 /// Orders to engines, and queries of their state.
@@ -193,10 +193,10 @@
         engine: &Engine,
         placed: &Move,
         permit: OrderPermit,
-    ) -> impl Future<Output = Told<OrderAnswer>>;
+    ) -> impl Future<Output = EngineReply<OrderAnswer>>;
 
     /// Queries the slowdown factor of an engine, 1 if it runs normally; `None` if the engine does not report it.
-    fn pace(&self, engine: &Engine) -> impl Future<Output = Told<Option<f64>>>;
+    fn pace(&self, engine: &Engine) -> impl Future<Output = EngineReply<Option<f64>>>;
 }
 
 /// Response of the first engine of a path to the order to repair the path.
@@ -213,11 +213,11 @@
 }
 
 /// Future of the response to an order to repair a path.
-pub type Repairing = Pin<Box<dyn Future<Output = Told<RepairAnswer>>>>;
+pub type RepairFuture = Pin<Box<dyn Future<Output = EngineReply<RepairAnswer>>>>;
 
 /// Orders to repair the path of a running request. They do not count as sends, since no engine runs anything
 /// twice for them.
 pub trait Repair {
     /// Orders the engine at `first` to continue its running request `id` over `path`, whose first part is unchanged.
-    fn repair(&self, first: SocketAddr, id: &str, path: &Path) -> Repairing;
+    fn repair(&self, first: SocketAddr, id: &str, path: &Path) -> RepairFuture;
 }
--- a/reachtally-relay/src/stream/repair.rs
+++ b/reachtally-relay/src/stream/repair.rs
@@ -14,7 +14,7 @@
 use crate::exchange::Recipient;
 use crate::relay::Relay;
 use crate::serve::Call;
-use crate::store::{self, RepairAnswer, Repairing};
+use crate::store::{self, RepairAnswer, RepairFuture};
 use crate::stream::chain::engine_names;
 use crate::stream::send;
 
@@ -28,10 +28,10 @@
 const MAX_REPAIRS_BEFORE_FIRST_EVENT: u32 = 1;
 
 /// The answer of an engine to an order; `None` after a timeout.
-pub(super) type Answer = Option<store::Told<RepairAnswer>>;
+pub(super) type Answer = Option<store::EngineReply<RepairAnswer>>;
 
 /// A pending order with its timeout.
-type Order = Pin<Box<tokio::time::Timeout<Repairing>>>;
+type Order = Pin<Box<tokio::time::Timeout<RepairFuture>>>;
 
 /// A pending repair.
 pub(super) struct Repair {
@@ -118,7 +118,7 @@
         silent_for: Duration,
     ) -> Outcome {
         let answer = answer.map_or(RepairAnswer::Lost, |answer| {
-            relay.apply_statement(&first.run, answer.said);
+            relay.apply_statement(&first.run, answer.statement);
             answer.answer
         });
         let id = &*call.head.id;
--- a/reachtally-relay/src/wire.rs
+++ b/reachtally-relay/src/wire.rs
@@ -103,7 +103,7 @@
     /// Load of the target, if reported.
     pub load: Option<Load>,
     /// Statement of the target about itself.
-    pub said: Statement,
+    pub statement: Statement,
 }
 
 /// Reason why a request head is invalid.
