--- a/reachtally-spec/src/claims.rs
+++ b/reachtally-spec/src/claims.rs
@@ -1,6 +1,7 @@
-//! Claim, dispatch and release of one key over two boxes.
+//! Claim, dispatch and release of one idempotency key across two boxes.
 //!
-//! Promises: the request runs at most once, and an answer "not run" is true, now and later.
+//! Invariants: the request runs at most once, and a request answered as "not run" has not run and
+//! never runs later.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -17,114 +18,114 @@
 use crate::Model;
 use crate::fixture::{ACCOUNT, account, declare};
 
-/// A rule broken on purpose.
+/// A protocol rule that the model violates deliberately.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Broken {
-    /// A box that reads another's claim takes it for its own.
+pub enum Mutation {
+    /// A box that reads another box's claim treats it as its own.
     TakeoverAllowed,
-    /// An owner releases its key after it has sent the request.
+    /// The owner of a key releases it after dispatching the request.
     ReleaseAfterDispatch,
-    /// Boxes go on reading a log that came back from a copy as if nothing had been lost.
-    ReturnUnnoticed,
+    /// Boxes keep reading a log restored from a backup without noticing the lost records.
+    RestoreUnnoticed,
 }
 
-/// How many faults of each kind may happen.
+/// Upper bounds on the requests and on the faults of each kind.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Budgets {
-    /// Requests with the key, at each box.
-    pub asks: u8,
-    /// Messages lost.
-    pub losses: u8,
-    /// Appends that take effect twice.
-    pub doubles: u8,
-    /// Boxes that die and come back as another run.
+    /// Requests with the key sent to each box.
+    pub requests: u8,
+    /// Lost messages.
+    pub lost_messages: u8,
+    /// Appends that are applied twice; also bounds [`Action::Release`].
+    pub duplicate_appends: u8,
+    /// Box crashes, each followed by a restart as a new incarnation.
     pub crashes: u8,
-    /// Waits for a claim that pass.
-    pub timeouts: u8,
-    /// Returns of the log from a copy that lacks its last record.
-    pub returns: u8,
+    /// Expired waits for a claim.
+    pub claim_timeouts: u8,
+    /// Restores of the log from a backup that lacks its last record.
+    pub log_restores: u8,
 }
 
-/// Boxes in the model.
+/// Number of boxes in the model.
 const BOXES: usize = 2;
 const KEY: &str = "k";
 const URL: &str = "http://s";
 
-/// What may happen.
+/// A transition of the model. `usize` is the index of a box or of a message in flight.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Action {
-    /// A caller asks a box.
+    /// A client sends a request to a box.
     NewRequest(usize),
-    /// A message arrives.
+    /// Delivers a message.
     Deliver(usize),
-    /// A message is lost; the box learns that no answer came.
+    /// Drops a message; the sending box sees a failed call.
     Lose(usize),
-    /// An append arrives and stays on its way.
-    Double(usize),
+    /// Applies an append but keeps it in flight, so that it is applied again.
+    Duplicate(usize),
     /// A box reads the next record of the log.
     Read(usize),
-    /// A box dies and comes back as another run.
+    /// A box crashes and restarts as a new incarnation.
     Crash(usize),
-    /// A box's wait for its claim passes.
+    /// A box's wait for its claim expires.
     Timeout(usize),
-    /// The log comes back from a copy that lacks its last record.
-    Return,
-    /// Only with [`Broken::ReleaseAfterDispatch`]: the box releases what it sent.
+    /// The log is restored from a backup that lacks its last record.
+    RestoreLog,
+    /// The box releases a key after dispatch; only with [`Mutation::ReleaseAfterDispatch`].
     Release(usize),
 }
 
-/// One of the requests asked.
-type Asked = (Incarnation, RequestKey);
+/// A request and the incarnation of the box that received it.
+type IncarnationRequest = (Incarnation, RequestKey);
 
 #[derive(Debug, Clone)]
 enum Message {
     Append {
-        at: usize,
+        box_index: usize,
         by: Incarnation,
         seq: u64,
         record: ClaimRecord,
     },
     Appended {
-        at: usize,
+        box_index: usize,
         by: Incarnation,
         seq: u64,
     },
     Call {
-        at: usize,
+        box_index: usize,
         by: Incarnation,
         request: RequestKey,
         target: TargetKey,
     },
     ServiceCallDone {
-        at: usize,
+        box_index: usize,
         by: Incarnation,
         request: RequestKey,
         target: TargetKey,
     },
 }
 
-struct Entrybox {
+struct EntryBox {
     world: World,
     effects: Effects,
     now: Instant,
     read: usize,
-    /// Returns of the log that it knows of.
-    returns: u8,
-    asks: u8,
+    /// Log restores that the box has processed.
+    log_restores: u8,
+    requests: u8,
 }
 
-/// The model.
+/// The model state.
 pub struct Claims {
-    boxes: Vec<Entrybox>,
+    boxes: Vec<EntryBox>,
     log: Vec<ClaimRecord>,
-    net: Vec<Message>,
-    runs: Vec<Asked>,
-    ends: BTreeMap<Asked, &'static str>,
-    left: Budgets,
-    /// How often the log has come back from a copy.
-    returns: u8,
+    in_flight: Vec<Message>,
+    executions: Vec<IncarnationRequest>,
+    outcomes: BTreeMap<IncarnationRequest, &'static str>,
+    remaining: Budgets,
+    /// Restores of the log so far.
+    log_restores: u8,
     incarnations: u64,
-    broken: Option<Broken>,
+    mutation: Option<Mutation>,
 }
 
 fn limits() -> Limits {
@@ -136,198 +137,216 @@
 }
 
 impl Claims {
-    /// The model's first state.
-    pub fn new(budgets: Budgets, broken: Option<Broken>) -> Self {
+    /// Returns the initial state.
+    pub fn new(budgets: Budgets, mutation: Option<Mutation>) -> Self {
         let mut model = Claims {
             boxes: Vec::new(),
             log: Vec::new(),
-            net: Vec::new(),
-            runs: Vec::new(),
-            ends: BTreeMap::new(),
-            left: budgets,
-            returns: 0,
+            in_flight: Vec::new(),
+            executions: Vec::new(),
+            outcomes: BTreeMap::new(),
+            remaining: budgets,
+            log_restores: 0,
             incarnations: 0,
-            broken,
+            mutation,
         };
         for _ in 0..BOXES {
-            let entrybox = model.new_box(budgets.asks);
-            model.boxes.push(entrybox);
+            let entry_box = model.new_box(budgets.requests);
+            model.boxes.push(entry_box);
         }
         model
     }
 
-    fn new_box(&mut self, asks: u8) -> Entrybox {
+    fn new_box(&mut self, requests: u8) -> EntryBox {
         self.incarnations += 1;
         let mut world = World::new(Incarnation(self.incarnations), 1, limits());
         let mut effects = Effects::default();
         world.handle(declarations(), Instant::ZERO, &mut effects);
         world.handle(Event::ClaimsCaughtUp, Instant::ZERO, &mut effects);
         effects.drain();
-        Entrybox {
+        EntryBox {
             world,
             effects,
             now: Instant::ZERO,
             read: 0,
-            returns: 0,
-            asks,
+            log_restores: 0,
+            requests,
         }
     }
 
-    /// A box reads a page of a log that has come back from a copy since its last one.
-    fn learn_of_return(&mut self, at: usize) {
-        self.boxes[at].returns = self.returns;
-        self.boxes[at].read = 0;
-        self.tell(at, self.incarnation(at), Event::ClaimLogRestored);
+    /// Notifies a box that the log was restored since its last read and restarts its reading.
+    fn handle_log_restore(&mut self, box_index: usize) {
+        self.boxes[box_index].log_restores = self.log_restores;
+        self.boxes[box_index].read = 0;
+        self.dispatch_event(
+            box_index,
+            self.incarnation(box_index),
+            Event::ClaimLogRestored,
+        );
     }
 
-    fn incarnation(&self, at: usize) -> Incarnation {
-        self.boxes[at].world.incarnation
+    fn incarnation(&self, box_index: usize) -> Incarnation {
+        self.boxes[box_index].world.incarnation
     }
 
-    /// Tell a box of an event, unless the run it is for is gone.
-    fn tell(&mut self, at: usize, by: Incarnation, event: Event) {
-        if self.incarnation(at) != by {
+    /// Passes an event to a box; drops it if the incarnation it is addressed to has ended.
+    fn dispatch_event(&mut self, box_index: usize, by: Incarnation, event: Event) {
+        if self.incarnation(box_index) != by {
             return;
         }
-        let entrybox = &mut self.boxes[at];
-        entrybox
+        let entry_box = &mut self.boxes[box_index];
+        entry_box
             .world
-            .handle(event, entrybox.now, &mut entrybox.effects);
-        self.settle(at);
+            .handle(event, entry_box.now, &mut entry_box.effects);
+        self.run_effects(box_index);
     }
 
-    fn settle(&mut self, at: usize) {
-        let entrybox = &mut self.boxes[at];
-        entrybox.world.tick(entrybox.now, &mut entrybox.effects);
-        let effects: Vec<Effect> = entrybox.effects.drain().collect();
-        let by = self.incarnation(at);
+    fn run_effects(&mut self, box_index: usize) {
+        let entry_box = &mut self.boxes[box_index];
+        entry_box.world.tick(entry_box.now, &mut entry_box.effects);
+        let effects: Vec<Effect> = entry_box.effects.drain().collect();
+        let by = self.incarnation(box_index);
         for effect in effects {
             match effect {
-                Effect::Append { seq, record } => self.net.push(Message::Append {
-                    at,
+                Effect::Append { seq, record } => self.in_flight.push(Message::Append {
+                    box_index,
                     by,
                     seq,
                     record,
                 }),
                 Effect::Call {
                     request, target, ..
-                } => self.net.push(Message::Call {
-                    at,
+                } => self.in_flight.push(Message::Call {
+                    box_index,
                     by,
                     request,
                     target,
                 }),
                 Effect::Finish { request, finish } => {
-                    self.ends.insert((by, request), name(&finish));
+                    self.outcomes.insert((by, request), outcome(&finish));
                 }
                 _ => {}
             }
         }
     }
 
-    fn ask(&mut self, at: usize) {
-        let entrybox = &mut self.boxes[at];
-        entrybox.asks -= 1;
-        entrybox
+    fn submit_request(&mut self, box_index: usize) {
+        let entry_box = &mut self.boxes[box_index];
+        entry_box.requests -= 1;
+        entry_box
             .world
-            .ask(order(), entrybox.now, &mut entrybox.effects);
-        self.settle(at);
+            .ask(new_request(), entry_box.now, &mut entry_box.effects);
+        self.run_effects(box_index);
     }
 
     fn deliver(&mut self, message: Message) {
         match message {
             Message::Append {
-                at,
+                box_index,
                 by,
                 seq,
                 record,
             } => {
                 self.log.push(record);
-                self.net.push(Message::Appended { at, by, seq });
+                self.in_flight
+                    .push(Message::Appended { box_index, by, seq });
             }
-            Message::Appended { at, by, seq } => {
+            Message::Appended { box_index, by, seq } => {
                 let confirmed = true;
-                self.tell(at, by, Event::Appended { seq, confirmed });
+                self.dispatch_event(box_index, by, Event::Appended { seq, confirmed });
             }
             Message::Call {
-                at,
+                box_index,
                 by,
                 request,
                 target,
             } => {
-                self.runs.push((by, request));
-                self.net.push(Message::ServiceCallDone {
-                    at,
+                self.executions.push((by, request));
+                self.in_flight.push(Message::ServiceCallDone {
+                    box_index,
                     by,
                     request,
                     target,
                 });
             }
             Message::ServiceCallDone {
-                at,
+                box_index,
                 by,
                 request,
                 target,
-            } => self.tell(at, by, called(request, target, Ok(answer()))),
+            } => self.dispatch_event(box_index, by, call_done(request, target, Ok(answer()))),
         }
     }
 
     fn lose(&mut self, message: Message) {
         match message {
-            Message::Append { at, by, seq, .. } | Message::Appended { at, by, seq } => {
+            Message::Append {
+                box_index, by, seq, ..
+            }
+            | Message::Appended { box_index, by, seq } => {
                 let confirmed = false;
-                self.tell(at, by, Event::Appended { seq, confirmed });
+                self.dispatch_event(box_index, by, Event::Appended { seq, confirmed });
             }
             Message::Call {
-                at,
+                box_index,
                 by,
                 request,
                 target,
             }
             | Message::ServiceCallDone {
-                at,
+                box_index,
                 by,
                 request,
                 target,
-            } => self.tell(at, by, called(request, target, Err(CallFailure::Lost))),
+            } => self.dispatch_event(
+                box_index,
+                by,
+                call_done(request, target, Err(CallFailure::Lost)),
+            ),
         }
     }
 
-    fn read(&mut self, at: usize) {
-        if self.boxes[at].returns < self.returns && self.broken != Some(Broken::ReturnUnnoticed) {
-            return self.learn_of_return(at);
+    fn read(&mut self, box_index: usize) {
+        if self.boxes[box_index].log_restores < self.log_restores
+            && self.mutation != Some(Mutation::RestoreUnnoticed)
+        {
+            return self.handle_log_restore(box_index);
         }
-        let offset = self.boxes[at].read;
-        self.boxes[at].read += 1;
+        let offset = self.boxes[box_index].read;
+        self.boxes[box_index].read += 1;
         let mut record = self.log[offset].clone();
-        if self.broken == Some(Broken::TakeoverAllowed) {
-            record.by = self.incarnation(at);
+        if self.mutation == Some(Mutation::TakeoverAllowed) {
+            record.by = self.incarnation(box_index);
         }
         let read = Read {
             offset: offset as u64,
             at_ms: 0,
             record,
         };
-        self.tell(at, self.incarnation(at), Event::ClaimsRead(vec![read]));
+        self.dispatch_event(
+            box_index,
+            self.incarnation(box_index),
+            Event::ClaimsRead(vec![read]),
+        );
     }
 
-    fn crash(&mut self, at: usize) {
-        let asks = self.boxes[at].asks;
-        self.boxes[at] = self.new_box(asks);
-        if self.returns > 0 {
-            // Its first page tells of the return, before the window since then has passed.
-            self.learn_of_return(at);
+    fn crash(&mut self, box_index: usize) {
+        let requests = self.boxes[box_index].requests;
+        self.boxes[box_index] = self.new_box(requests);
+        if self.log_restores > 0 {
+            // Its first page reports the restore, before the claim window since then has passed.
+            self.handle_log_restore(box_index);
         }
     }
 
-    fn has_sent(&self, at: usize) -> bool {
-        let by = self.incarnation(at);
+    fn has_sent(&self, box_index: usize) -> bool {
+        let by = self.incarnation(box_index);
         let sent = |message: &Message| matches!(message, Message::Call { by: b, .. } if *b == by);
-        self.net.iter().any(sent) || self.runs.iter().any(|(b, _)| *b == by)
+        self.in_flight.iter().any(sent) || self.executions.iter().any(|(b, _)| *b == by)
     }
 
-    fn release(&mut self, at: usize) {
-        let by = self.incarnation(at);
+    fn release(&mut self, box_index: usize) {
+        let by = self.incarnation(box_index);
         let key = ClaimKey {
             account: ACCOUNT.to_owned(),
             key: KEY.to_owned(),
@@ -344,36 +363,36 @@
 
     fn actions(&self) -> Vec<Action> {
         let mut actions = Vec::new();
-        for at in 0..BOXES {
-            if self.boxes[at].asks > 0 {
-                actions.push(Action::NewRequest(at));
+        for box_index in 0..BOXES {
+            if self.boxes[box_index].requests > 0 {
+                actions.push(Action::NewRequest(box_index));
             }
-            let is_behind = self.boxes[at].returns < self.returns
-                && self.broken != Some(Broken::ReturnUnnoticed);
-            if is_behind || self.boxes[at].read < self.log.len() {
-                actions.push(Action::Read(at));
+            let is_behind = self.boxes[box_index].log_restores < self.log_restores
+                && self.mutation != Some(Mutation::RestoreUnnoticed);
+            if is_behind || self.boxes[box_index].read < self.log.len() {
+                actions.push(Action::Read(box_index));
             }
-            if self.left.crashes > 0 {
-                actions.push(Action::Crash(at));
+            if self.remaining.crashes > 0 {
+                actions.push(Action::Crash(box_index));
             }
-            if self.left.timeouts > 0 {
-                actions.push(Action::Timeout(at));
+            if self.remaining.claim_timeouts > 0 {
+                actions.push(Action::Timeout(box_index));
             }
-            let release = self.broken == Some(Broken::ReleaseAfterDispatch);
-            if release && self.left.doubles > 0 && self.has_sent(at) {
-                actions.push(Action::Release(at));
+            let can_release = self.mutation == Some(Mutation::ReleaseAfterDispatch);
+            if can_release && self.remaining.duplicate_appends > 0 && self.has_sent(box_index) {
+                actions.push(Action::Release(box_index));
             }
         }
-        if self.left.returns > 0 && !self.log.is_empty() {
-            actions.push(Action::Return);
+        if self.remaining.log_restores > 0 && !self.log.is_empty() {
+            actions.push(Action::RestoreLog);
         }
-        for (number, message) in self.net.iter().enumerate() {
-            actions.push(Action::Deliver(number));
-            if self.left.losses > 0 {
-                actions.push(Action::Lose(number));
+        for (message_index, message) in self.in_flight.iter().enumerate() {
+            actions.push(Action::Deliver(message_index));
+            if self.remaining.lost_messages > 0 {
+                actions.push(Action::Lose(message_index));
             }
-            if self.left.doubles > 0 && matches!(message, Message::Append { .. }) {
-                actions.push(Action::Double(number));
+            if self.remaining.duplicate_appends > 0 && matches!(message, Message::Append { .. }) {
+                actions.push(Action::Duplicate(message_index));
             }
         }
         actions
@@ -381,69 +400,69 @@
 
     fn apply(&mut self, action: &Action) {
         match *action {
-            Action::NewRequest(at) => self.ask(at),
-            Action::Deliver(number) => {
-                let message = self.net.remove(number);
+            Action::NewRequest(box_index) => self.submit_request(box_index),
+            Action::Deliver(message_index) => {
+                let message = self.in_flight.remove(message_index);
                 self.deliver(message);
             }
-            Action::Lose(number) => {
-                self.left.losses -= 1;
-                let message = self.net.remove(number);
+            Action::Lose(message_index) => {
+                self.remaining.lost_messages -= 1;
+                let message = self.in_flight.remove(message_index);
                 self.lose(message);
             }
-            Action::Double(number) => {
-                self.left.doubles -= 1;
-                if let Message::Append { record, .. } = &self.net[number] {
+            Action::Duplicate(message_index) => {
+                self.remaining.duplicate_appends -= 1;
+                if let Message::Append { record, .. } = &self.in_flight[message_index] {
                     self.log.push(record.clone());
                 }
             }
-            Action::Read(at) => self.read(at),
-            Action::Crash(at) => {
-                self.left.crashes -= 1;
-                self.crash(at);
+            Action::Read(box_index) => self.read(box_index),
+            Action::Crash(box_index) => {
+                self.remaining.crashes -= 1;
+                self.crash(box_index);
             }
-            Action::Timeout(at) => {
-                self.left.timeouts -= 1;
-                self.boxes[at].now = self.boxes[at].now + limits().claim_wait;
-                self.settle(at);
+            Action::Timeout(box_index) => {
+                self.remaining.claim_timeouts -= 1;
+                self.boxes[box_index].now = self.boxes[box_index].now + limits().claim_wait;
+                self.run_effects(box_index);
             }
-            Action::Return => {
-                self.left.returns -= 1;
-                self.returns += 1;
+            Action::RestoreLog => {
+                self.remaining.log_restores -= 1;
+                self.log_restores += 1;
                 self.log.pop();
             }
-            Action::Release(at) => {
-                self.left.doubles -= 1;
-                self.release(at);
+            Action::Release(box_index) => {
+                self.remaining.duplicate_appends -= 1;
+                self.release(box_index);
             }
         }
     }
 
     fn fingerprint(&self) -> String {
-        let mut text = format!("{:?}{:?}", self.log, self.left);
-        for entrybox in &self.boxes {
-            let world = entrybox.world.decision_state();
+        let mut text = format!("{:?}{:?}", self.log, self.remaining);
+        for entry_box in &self.boxes {
+            let world = entry_box.world.decision_state();
             text += &format!(
                 "{world:?}{:?}{}{}{}",
-                entrybox.now, entrybox.read, entrybox.returns, entrybox.asks
+                entry_box.now, entry_box.read, entry_box.log_restores, entry_box.requests
             );
         }
-        let mut net: Vec<String> = self.net.iter().map(|m| format!("{m:?}")).collect();
-        net.sort();
-        text + &format!("{net:?}{:?}{:?}", self.runs, self.ends)
+        let mut in_flight: Vec<String> = self.in_flight.iter().map(|m| format!("{m:?}")).collect();
+        in_flight.sort();
+        text + &format!("{in_flight:?}{:?}{:?}", self.executions, self.outcomes)
     }
 
     fn violation(&self) -> Option<String> {
-        if self.runs.len() > 1 {
-            return Some(format!("the request ran {} times", self.runs.len()));
+        if self.executions.len() > 1 {
+            return Some(format!("the request ran {} times", self.executions.len()));
         }
-        let ran = self.runs.first()?;
-        let end = self.ends.get(ran)?;
-        (*end == "not run").then(|| "a request that ran was answered as not run".to_owned())
+        let executed = self.executions.first()?;
+        let outcome = self.outcomes.get(executed)?;
+        (*outcome == "not run").then(|| "a request that ran was answered as not run".to_owned())
     }
 }
 
-fn name(finish: &Finish) -> &'static str {
+fn outcome(finish: &Finish) -> &'static str {
     match finish {
         Finish::Completed(_) => "completed",
         Finish::NotRun(_) => "not run",
@@ -452,7 +471,7 @@
     }
 }
 
-fn called(request: RequestKey, target: TargetKey, result: Result<Answer, CallFailure>) -> Event {
+fn call_done(request: RequestKey, target: TargetKey, result: Result<Answer, CallFailure>) -> Event {
     Event::ServiceCallDone {
         request,
         target,
@@ -468,7 +487,7 @@
     }
 }
 
-fn order() -> NewRequest {
+fn new_request() -> NewRequest {
     NewRequest {
         account: ACCOUNT.to_owned(),
         work: Work::Service(ServiceCall {
--- a/reachtally-spec/src/config.rs
+++ b/reachtally-spec/src/config.rs
@@ -1,53 +1,54 @@
-//! The configuration fold of one box that reads records late, again and out of order.
+//! The configuration of one box that reads log records late, repeatedly and out of order.
 //!
-//! Promises: the offset in force never goes back, no record is skipped, and equal offsets mean equal
-//! configurations.
+//! Invariants: the offset of the active configuration never decreases, no record is skipped, and
+//! equal offsets imply equal configurations.
 
 use reachtally_core::declare::{Kind, Model as DeclaredModel, Object};
-use reachtally_core::fold::{Config as Folded, Edit, EditChange, Operation};
+use reachtally_core::fold::{Config as FoldedConfig, Edit, EditChange, Operation};
 
 use crate::Model;
 
-/// A rule broken on purpose.
+/// A protocol rule that the model violates deliberately.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Broken {
-    /// A box takes over an older configuration that a peer offers.
-    OffsetMayGoBack,
-    /// A record is folded although records before it are missing.
+pub enum Mutation {
+    /// A box adopts an older configuration offered by a peer.
+    OffsetDecreases,
+    /// A record is folded although earlier records are missing.
     GapSkipped,
 }
 
-/// Records in the log.
-const RECORDS: u64 = 5;
+/// Number of records in the log.
+const RECORD_COUNT: u64 = 5;
 
-/// What may happen.
+/// A transition of the model.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Action {
-    /// The box is handed the record at this offset.
+    /// The box reads the record at this offset.
     Read(u64),
-    /// A peer offers its whole configuration, which has this offset.
+    /// A peer offers its complete configuration, which is at this offset.
     Offer(u64),
 }
 
-/// The model.
+/// The model state.
 pub struct Config {
-    in_force: Folded,
-    highest: u64,
-    broken: Option<Broken>,
+    active: FoldedConfig,
+    highest_offset: u64,
+    mutation: Option<Mutation>,
 }
 
 impl Config {
-    /// The model's first state.
-    pub fn new(broken: Option<Broken>) -> Self {
+    /// Returns the initial state.
+    pub fn new(mutation: Option<Mutation>) -> Self {
         Config {
-            in_force: Folded::default(),
-            highest: 0,
-            broken,
+            active: FoldedConfig::default(),
+            highest_offset: 0,
+            mutation,
         }
     }
 }
 
-/// The operations in the log: two that race for a revision, one published twice.
+/// Returns the operation at `offset`. Two operations conflict on a revision, and one is published
+/// twice.
 fn operation(offset: u64) -> Operation {
     let (id, base) = match offset {
         0 => ("a", 0),
@@ -71,10 +72,10 @@
     }
 }
 
-fn prefix(next: u64) -> Folded {
-    let mut config = Folded::default();
+fn folded_prefix(next: u64) -> FoldedConfig {
+    let mut config = FoldedConfig::default();
     for offset in 0..next {
-        // Offsets follow each other here, so none is refused.
+        // The offsets are consecutive, so no record is rejected.
         config.fold(offset, &operation(offset)).ok();
     }
     config
@@ -84,46 +85,46 @@
     type Action = Action;
 
     fn actions(&self) -> Vec<Action> {
-        let reads = (0..RECORDS).map(Action::Read);
-        let offers = (0..=RECORDS).map(Action::Offer);
+        let reads = (0..RECORD_COUNT).map(Action::Read);
+        let offers = (0..=RECORD_COUNT).map(Action::Offer);
         reads.chain(offers).collect()
     }
 
     fn apply(&mut self, action: &Action) {
-        self.highest = self.highest.max(self.in_force.next());
+        self.highest_offset = self.highest_offset.max(self.active.next());
         match *action {
             Action::Read(offset) => {
-                let read_as = match self.broken {
-                    Some(Broken::GapSkipped) => self.in_force.next(),
+                let fold_offset = match self.mutation {
+                    Some(Mutation::GapSkipped) => self.active.next(),
                     _ => offset,
                 };
-                // A gap is refused and the record read again later.
-                self.in_force.fold(read_as, &operation(offset)).ok();
+                // A record after a gap is rejected and read again later.
+                self.active.fold(fold_offset, &operation(offset)).ok();
             }
             Action::Offer(next) => {
-                let offered = prefix(next);
-                if self.broken == Some(Broken::OffsetMayGoBack) {
-                    self.in_force = offered;
+                let offered = folded_prefix(next);
+                if self.mutation == Some(Mutation::OffsetDecreases) {
+                    self.active = offered;
                 } else {
-                    self.in_force.adopt(offered);
+                    self.active.adopt(offered);
                 }
             }
         }
     }
 
     fn fingerprint(&self) -> String {
-        format!("{:?}{}", self.in_force, self.highest)
+        format!("{:?}{}", self.active, self.highest_offset)
     }
 
     fn violation(&self) -> Option<String> {
-        let next = self.in_force.next();
-        if next < self.highest {
+        let next = self.active.next();
+        if next < self.highest_offset {
             return Some(format!(
-                "the offset went back from {} to {next}",
-                self.highest
+                "the offset decreased from {} to {next}",
+                self.highest_offset
             ));
         }
-        let other = next <= RECORDS && self.in_force != prefix(next);
-        other.then(|| format!("the configuration at offset {next} is not that of the log"))
+        let differs = next <= RECORD_COUNT && self.active != folded_prefix(next);
+        differs.then(|| format!("the configuration at offset {next} differs from that of the log"))
     }
 }
--- a/reachtally-spec/src/explore.rs
+++ b/reachtally-spec/src/explore.rs
@@ -4,30 +4,30 @@
 
 use pathfinding::prelude::bfs_reach;
 
-/// A system with a finite number of states under its budgets.
+/// A transition system whose budgets keep its state space finite.
 pub trait Model: Sized {
-    /// What may happen next.
+    /// A transition.
     type Action: Clone + std::fmt::Debug;
 
-    /// The actions possible now.
+    /// Returns the actions enabled in this state.
     fn actions(&self) -> Vec<Self::Action>;
 
-    /// Let an action happen.
+    /// Applies an action.
     fn apply(&mut self, action: &Self::Action);
 
-    /// Text that is the same for states with the same future.
+    /// Returns a text that identifies the state. States with equal texts must behave identically.
     fn fingerprint(&self) -> String;
 
-    /// What promise is broken in this state, if any.
+    /// Describes the invariant that this state violates, if any.
     fn violation(&self) -> Option<String>;
 }
 
-/// What an exploration found.
+/// The result of an exploration.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Found<A> {
-    /// States visited.
+pub struct Exploration<A> {
+    /// Number of visited states.
     pub states: usize,
-    /// Length of the longest trace visited.
+    /// Length of the longest visited trace.
     pub depth: usize,
     /// Whether every state within the budgets was visited.
     pub exhausted: bool,
@@ -35,12 +35,16 @@
     pub violation: Option<(Vec<A>, String)>,
 }
 
-impl<A: std::fmt::Debug> std::fmt::Display for Found<A> {
+impl<A: std::fmt::Debug> std::fmt::Display for Exploration<A> {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        let all = if self.exhausted { "all" } else { "not all" };
-        writeln!(f, "{} states ({all}), depth {}", self.states, self.depth)?;
-        if let Some((trace, what)) = &self.violation {
-            writeln!(f, "violation: {what}")?;
+        let coverage = if self.exhausted { "all" } else { "not all" };
+        writeln!(
+            f,
+            "{} states ({coverage}), depth {}",
+            self.states, self.depth
+        )?;
+        if let Some((trace, description)) = &self.violation {
+            writeln!(f, "violation: {description}")?;
             for (number, action) in trace.iter().enumerate() {
                 writeln!(f, "{:>3}. {action:?}", number + 1)?;
             }
@@ -49,9 +53,9 @@
     }
 }
 
-/// A state by the trace that leads to it. Worlds can't be copied, since their typestates are spent
-/// by each transition; so a state is built anew from its trace. States with the same fingerprint are
-/// the same.
+/// A state, stored as the trace that leads to it. A world can't be cloned, because its transitions
+/// consume its typestates, so a state is rebuilt by replaying its trace. Nodes are equal if the
+/// digests of their fingerprints are.
 struct Node<A> {
     trace: Vec<A>,
     digest: u64,
@@ -94,40 +98,40 @@
     model
 }
 
-/// Visit the states reachable from `start`, `most` at most, until a violation is found.
-pub fn explore<M: Model>(start: impl Fn() -> M, most: usize) -> Found<M::Action> {
+/// Visits the states reachable from `start` until it finds a violation or has visited `max_states`.
+pub fn explore<M: Model>(start: impl Fn() -> M, max_states: usize) -> Exploration<M::Action> {
     let first = Node {
         trace: Vec::new(),
         digest: digest(&start()),
     };
     let successors = |node: &Node<M::Action>| -> Vec<Node<M::Action>> {
         let actions = rebuild(&start, &node.trace).actions();
-        let next = |action: M::Action| {
+        let successor = |action: M::Action| {
             let mut trace = node.trace.clone();
             trace.push(action);
             let digest = digest(&rebuild(&start, &trace));
             Node { trace, digest }
         };
-        actions.into_iter().map(next).collect()
+        actions.into_iter().map(successor).collect()
     };
-    let mut found = Found {
+    let mut exploration = Exploration {
         states: 0,
         depth: 0,
         exhausted: true,
         violation: None,
     };
     for node in bfs_reach(first, successors) {
-        found.states += 1;
-        found.depth = found.depth.max(node.trace.len());
-        if let Some(what) = rebuild(&start, &node.trace).violation() {
-            found.exhausted = false;
-            found.violation = Some((node.trace, what));
+        exploration.states += 1;
+        exploration.depth = exploration.depth.max(node.trace.len());
+        if let Some(description) = rebuild(&start, &node.trace).violation() {
+            exploration.exhausted = false;
+            exploration.violation = Some((node.trace, description));
             break;
         }
-        if found.states >= most {
-            found.exhausted = false;
+        if exploration.states >= max_states {
+            exploration.exhausted = false;
             break;
         }
     }
-    found
+    exploration
 }
--- a/reachtally-spec/src/fixture.rs
+++ b/reachtally-spec/src/fixture.rs
@@ -1,14 +1,14 @@
-//! What the models declare.
+//! Declarations shared by the models.
 
 use reachtally_core::Event;
 use reachtally_core::declare::{Account, Object};
 use reachtally_core::event::Read;
 use reachtally_core::fold::{Config, Operation};
 
-/// The account of every model.
+/// The client account that every model uses.
 pub const ACCOUNT: &str = "a";
 
-/// The account with these rights.
+/// Declares the client account with access to `models` and `services`.
 pub fn account(models: &[&str], services: &[&str]) -> Object {
     let owned = |names: &[&str]| names.iter().map(|&name| name.to_owned()).collect();
     Object::Account(Account {
@@ -22,7 +22,7 @@
     })
 }
 
-/// The event by which a world learns of `objects`.
+/// Returns the event that declares `objects` to a world.
 pub fn declare(objects: Vec<Object>) -> Event {
     Event::ConfigRead(vec![Read {
         offset: 0,
--- a/reachtally-spec/src/lib.rs
+++ b/reachtally-spec/src/lib.rs
@@ -1,10 +1,10 @@
-//! A small specification of the core protocol, checked exhaustively over the core's own code.
+//! Exhaustive model checking of the core protocol, run against the core's production code.
 //!
-//! Each module is a model: an environment that may lose, double and reorder messages, kill, pause
-//! and restart boxes, around the shipped [`World`](reachtally_core::World) or its parts. [`explore`]
-//! visits every state within the model's budgets of faults, breadth first, so the first violation
-//! found has a shortest trace. Each model also comes with rules broken on purpose at its interface;
-//! that their violation is found shows that the check can fail.
+//! Each module is a model: the shipped [`World`](reachtally_core::World) or parts of it, in an
+//! environment that may lose, duplicate and reorder messages and crash, pause and restart boxes.
+//! [`explore`] visits every state within the model's fault budgets breadth first, so the first
+//! violation found has a shortest trace. Each model also defines mutations, which break a protocol
+//! rule at the model's interface; detecting their violations shows that the checks can fail.
 #![forbid(unsafe_code)]
 #![deny(missing_docs)]
 
@@ -14,4 +14,4 @@
 mod fixture;
 pub mod lineage;
 
-pub use explore::{Found, Model, explore};
+pub use explore::{Exploration, Model, explore};
--- a/reachtally-spec/src/lineage.rs
+++ b/reachtally-spec/src/lineage.rs
@@ -1,7 +1,7 @@
 //! Lineage and stage replacement of one request over two stages with two engines each.
 //!
-//! Promises: the tokens delivered are the model's, in order, and the engines' ledgers show each
-//! layer once for each position of the accepted lineage.
+//! Invariants: the delivered tokens equal the model's output, in order, and the engines' ledgers
+//! show exactly one run of each layer for each position of the accepted lineage.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -20,44 +20,44 @@
 use crate::Model;
 use crate::fixture::{ACCOUNT, account, declare};
 
-/// A rule broken on purpose.
+/// A protocol rule that the model violates deliberately.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Broken {
-    /// A result is taken for the one awaited whatever its call and attempt.
+pub enum Mutation {
+    /// A result is accepted as the awaited one without comparing its call and attempt.
     AttemptNotCompared,
 }
 
-/// How many faults of each kind may happen.
+/// Upper bounds on the faults of each kind.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Budgets {
-    /// Answers lost after the steps ran, or calls lost before.
-    pub losses: u8,
-    /// Answers that come twice.
-    pub doubles: u8,
-    /// Engines that die, losing their KV, and come back empty.
-    pub deaths: u8,
-    /// Calls given up on while their answer is still on its way.
-    pub timeouts: u8,
+    /// Lost messages: responses after the steps ran, or calls before.
+    pub lost_messages: u8,
+    /// Responses that are delivered twice.
+    pub duplicate_responses: u8,
+    /// Engine crashes; the engine loses its KV and restarts empty.
+    pub crashes: u8,
+    /// Call timeouts while the response is still in flight.
+    pub call_timeouts: u8,
 }
 
 const LAYERS: u32 = 2;
 const PROMPT: &str = "a";
-const TOKENS: u32 = 2;
-/// Long enough for every time-out of a call to pass.
-const CALL_WAIT: Duration = Duration::from_secs(31);
+const MAX_TOKENS: u32 = 2;
+/// Longer than any call timeout.
+const PAST_CALL_TIMEOUTS: Duration = Duration::from_secs(31);
 
-/// What may happen.
+/// A transition of the model. `usize` is the index of a message in flight or of an engine.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Action {
-    /// A message arrives.
+    /// Delivers a message.
     Deliver(usize),
-    /// A message is lost; the box learns that no answer came.
+    /// Drops a message; the box sees a failed call.
     Lose(usize),
-    /// An answer arrives and stays on its way.
-    Double(usize),
-    /// An engine dies and comes back empty.
+    /// Delivers a response but keeps it in flight, so that it is delivered again.
+    Duplicate(usize),
+    /// An engine crashes and restarts empty.
     Die(usize),
-    /// The time-outs of all outstanding calls pass.
+    /// All outstanding calls time out.
     Timeout,
 }
 
@@ -77,20 +77,20 @@
     },
 }
 
-/// The model.
+/// The model state.
 pub struct Lineage {
     world: World,
     effects: Effects,
     now: Instant,
     request: RequestKey,
     engines: Vec<State>,
-    dead_runs: Vec<Ledger>,
+    crashed_ledgers: Vec<Ledger>,
     targets: Vec<TargetKey>,
-    net: Vec<Message>,
+    in_flight: Vec<Message>,
     tokens: Vec<String>,
     end: Option<Result<CompletionEnd, &'static str>>,
-    left: Budgets,
-    broken: Option<Broken>,
+    remaining: Budgets,
+    mutation: Option<Mutation>,
 }
 
 fn options(engine: usize) -> Options {
@@ -99,8 +99,8 @@
 }
 
 impl Lineage {
-    /// The model's first state: the request is under way.
-    pub fn new(budgets: Budgets, broken: Option<Broken>) -> Self {
+    /// Returns the initial state, with the request submitted.
+    pub fn new(budgets: Budgets, mutation: Option<Mutation>) -> Self {
         let limits = Limits {
             replacement_wait: Duration::from_secs(1 << 20),
             ..Limits::default()
@@ -109,7 +109,7 @@
         let mut effects = Effects::default();
         world.handle(declarations(), Instant::ZERO, &mut effects);
         effects.drain();
-        let request = world.ask(ask(), Instant::ZERO, &mut effects);
+        let request = world.ask(new_request(), Instant::ZERO, &mut effects);
         let target = |number: usize| world.target_named(&format!("e{number}"));
         let targets = (0..4).filter_map(target).collect();
         let mut lineage = Lineage {
@@ -118,32 +118,32 @@
             now: Instant::ZERO,
             request,
             engines: (0..4).map(|engine| State::new(options(engine))).collect(),
-            dead_runs: Vec::new(),
+            crashed_ledgers: Vec::new(),
             targets,
-            net: Vec::new(),
+            in_flight: Vec::new(),
             tokens: Vec::new(),
             end: None,
-            left: budgets,
-            broken,
+            remaining: budgets,
+            mutation,
         };
-        lineage.settle();
+        lineage.run_effects();
         lineage
     }
 
-    fn tell(&mut self, event: Event) {
+    fn handle_event(&mut self, event: Event) {
         self.world.handle(event, self.now, &mut self.effects);
-        self.settle();
+        self.run_effects();
     }
 
-    fn settle(&mut self) {
+    fn run_effects(&mut self) {
         self.world.tick(self.now, &mut self.effects);
         let effects: Vec<Effect> = self.effects.drain().collect();
         for effect in effects {
-            self.carry_out(effect);
+            self.apply_effect(effect);
         }
     }
 
-    fn carry_out(&mut self, effect: Effect) {
+    fn apply_effect(&mut self, effect: Effect) {
         match effect {
             Effect::Steps {
                 call,
@@ -152,13 +152,13 @@
             } => {
                 let at = self.targets.iter().position(|known| *known == target);
                 let engine = at.unwrap_or_default();
-                self.net.push(Message::Steps {
+                self.in_flight.push(Message::Steps {
                     call,
                     engine,
                     batch,
                 });
             }
-            Effect::Probe { target } => self.net.push(Message::Probe { target }),
+            Effect::Probe { target } => self.in_flight.push(Message::Probe { target }),
             Effect::Deliver { text, .. } => self.tokens.push(text),
             Effect::Finish { finish, .. } => {
                 self.end = Some(match finish {
@@ -179,16 +179,16 @@
                 batch,
             } => {
                 let results = self.engines[engine].run(batch);
-                self.net.push(Message::Results { call, results });
+                self.in_flight.push(Message::Results { call, results });
             }
-            Message::Results { call, results } => self.take(call, results),
-            Message::Probe { target } => self.tell(Event::Probed { target, up: true }),
+            Message::Results { call, results } => self.deliver_results(call, results),
+            Message::Probe { target } => self.handle_event(Event::Probed { target, up: true }),
         }
     }
 
-    fn take(&mut self, call: CallKey, mut results: Vec<StepResult>) {
+    fn deliver_results(&mut self, call: CallKey, mut results: Vec<StepResult>) {
         let mut call = call;
-        if self.broken == Some(Broken::AttemptNotCompared)
+        if self.mutation == Some(Mutation::AttemptNotCompared)
             && let Some((awaited, attempt)) = self.world.awaited_call(self.request)
         {
             call = awaited;
@@ -196,50 +196,53 @@
                 result.attempt = attempt;
             }
         }
-        self.tell(Event::StepsDone { call, results });
+        self.handle_event(Event::StepsDone { call, results });
     }
 
     fn lose(&mut self, message: Message) {
         match message {
             Message::Steps { call, .. } => {
                 let failure = CallFailure::NeverStarted(NeverStarted::ConnectFailed);
-                self.tell(Event::StepsFailed { call, failure });
+                self.handle_event(Event::StepsFailed { call, failure });
             }
             Message::Results { call, .. } => {
                 let failure = CallFailure::Lost;
-                self.tell(Event::StepsFailed { call, failure });
+                self.handle_event(Event::StepsFailed { call, failure });
             }
-            Message::Probe { target } => self.tell(Event::Probed { target, up: false }),
+            Message::Probe { target } => self.handle_event(Event::Probed { target, up: false }),
         }
     }
 
-    /// What the engine sent before still arrives.
-    fn die(&mut self, engine: usize) {
-        let dead = std::mem::replace(&mut self.engines[engine], State::new(options(engine)));
-        self.dead_runs.push(dead.ledger().clone());
+    /// Replaces an engine by an empty one. Its messages in flight are still delivered.
+    fn crash_engine(&mut self, engine: usize) {
+        let crashed = std::mem::replace(&mut self.engines[engine], State::new(options(engine)));
+        self.crashed_ledgers.push(crashed.ledger().clone());
     }
 
-    fn wrong_tokens(&self) -> Option<String> {
-        let expected = model::reference(LAYERS, "", PROMPT, TOKENS);
+    fn token_violation(&self) -> Option<String> {
+        let expected = model::reference(LAYERS, "", PROMPT, MAX_TOKENS);
         for (index, token) in self.tokens.iter().enumerate() {
-            if expected.get(index).is_none_or(|right| right.text != *token) {
-                return Some(format!("token {index} is not the model's"));
+            if expected
+                .get(index)
+                .is_none_or(|expected| expected.text != *token)
+            {
+                return Some(format!("token {index} differs from the model's output"));
             }
         }
         None
     }
 
-    fn wrong_ledger(&self) -> Option<String> {
+    fn ledger_violation(&self) -> Option<String> {
         let Some(Ok(end)) = &self.end else {
             return None;
         };
-        // What a dead engine ran is gone with its ledger here, so only engines that never died can
-        // be compared; the lineage itself is always checked.
+        // A crashed engine's ledger is no longer among `engines`, so ledgers are compared only if no
+        // engine has crashed; the lineage itself is always checked.
         let positions = end.prompt_tokens + end.completion_tokens - 1;
         if let Err(err) = end.lineage.check(LAYERS, positions) {
             return Some(format!("{err:?}"));
         }
-        if !self.dead_runs.is_empty() {
+        if !self.crashed_ledgers.is_empty() {
             return None;
         }
         let accepted: Vec<Accepted> = end
@@ -271,20 +274,22 @@
 
     fn actions(&self) -> Vec<Action> {
         let mut actions = Vec::new();
-        for (number, message) in self.net.iter().enumerate() {
+        for (number, message) in self.in_flight.iter().enumerate() {
             actions.push(Action::Deliver(number));
-            if self.left.losses > 0 {
+            if self.remaining.lost_messages > 0 {
                 actions.push(Action::Lose(number));
             }
-            if self.left.doubles > 0 && matches!(message, Message::Results { .. }) {
-                actions.push(Action::Double(number));
+            if self.remaining.duplicate_responses > 0 && matches!(message, Message::Results { .. })
+            {
+                actions.push(Action::Duplicate(number));
             }
         }
-        if self.left.deaths > 0 {
-            let held = (0..self.engines.len()).filter(|at| self.engines[*at].requests_held() > 0);
-            actions.extend(held.map(Action::Die));
+        if self.remaining.crashes > 0 {
+            let engines_with_kv =
+                (0..self.engines.len()).filter(|at| self.engines[*at].requests_held() > 0);
+            actions.extend(engines_with_kv.map(Action::Die));
         }
-        if self.left.timeouts > 0 && self.world.calls.values().next().is_some() {
+        if self.remaining.call_timeouts > 0 && self.world.calls.values().next().is_some() {
             actions.push(Action::Timeout);
         }
         actions
@@ -293,34 +298,34 @@
     fn apply(&mut self, action: &Action) {
         match *action {
             Action::Deliver(number) => {
-                let message = self.net.remove(number);
+                let message = self.in_flight.remove(number);
                 self.deliver(message);
             }
             Action::Lose(number) => {
-                self.left.losses -= 1;
-                let message = self.net.remove(number);
+                self.remaining.lost_messages -= 1;
+                let message = self.in_flight.remove(number);
                 self.lose(message);
             }
-            Action::Double(number) => {
-                self.left.doubles -= 1;
-                let message = self.net[number].clone();
+            Action::Duplicate(number) => {
+                self.remaining.duplicate_responses -= 1;
+                let message = self.in_flight[number].clone();
                 self.deliver(message);
             }
             Action::Die(engine) => {
-                self.left.deaths -= 1;
-                self.die(engine);
+                self.remaining.crashes -= 1;
+                self.crash_engine(engine);
             }
             Action::Timeout => {
-                self.left.timeouts -= 1;
-                self.now = self.now + CALL_WAIT;
-                self.settle();
+                self.remaining.call_timeouts -= 1;
+                self.now = self.now + PAST_CALL_TIMEOUTS;
+                self.run_effects();
             }
         }
     }
 
     fn fingerprint(&self) -> String {
-        let mut net: Vec<String> = self.net.iter().map(|m| format!("{m:?}")).collect();
-        net.sort();
+        let mut in_flight: Vec<String> = self.in_flight.iter().map(|m| format!("{m:?}")).collect();
+        in_flight.sort();
         let ledgers: Vec<_> = self
             .engines
             .iter()
@@ -330,26 +335,26 @@
             })
             .collect();
         format!(
-            "{:?}{net:?}{ledgers:?}{:?}{:?}{:?}",
+            "{:?}{in_flight:?}{ledgers:?}{:?}{:?}{:?}",
             self.world.decision_state(),
             self.tokens,
-            self.left,
+            self.remaining,
             self.end,
         )
     }
 
     fn violation(&self) -> Option<String> {
-        self.wrong_tokens().or_else(|| self.wrong_ledger())
+        self.token_violation().or_else(|| self.ledger_violation())
     }
 }
 
-fn ask() -> NewRequest {
+fn new_request() -> NewRequest {
     NewRequest {
         account: ACCOUNT.to_owned(),
         work: Work::Completion(Completion {
             model: "m".to_owned(),
             prompt: PROMPT.to_owned(),
-            max_tokens: TOKENS,
+            max_tokens: MAX_TOKENS,
         }),
         idempotency_key: None,
         patience: Duration::from_secs(1 << 20),
--- a/reachtally-spec/tests/spec/main.rs
+++ b/reachtally-spec/tests/spec/main.rs
@@ -1,42 +1,42 @@
-//! The core protocol, checked exhaustively; and rules broken on purpose, found.
+//! Exhaustive checks of the core protocol; deliberate violations of its rules must be detected.
 
 use reachtally_spec::{Model, claims, config, explore, lineage};
 
-/// More states than any of the models here has.
-const MOST: usize = 400_000;
+/// Upper bound on visited states; larger than the state space of any model here.
+const MAX_STATES: usize = 400_000;
 
 #[track_caller]
 fn assert_holds<M: Model>(name: &str, start: impl Fn() -> M) {
-    let found = explore(start, MOST);
-    println!("{name}: {found}");
-    assert!(found.exhausted, "{found}");
+    let exploration = explore(start, MAX_STATES);
+    println!("{name}: {exploration}");
+    assert!(exploration.exhausted, "{exploration}");
 }
 
 #[track_caller]
-fn assert_found<M: Model>(name: &str, start: impl Fn() -> M) {
-    let found = explore(start, MOST);
-    println!("{name}: {found}");
+fn assert_detects_violation<M: Model>(name: &str, start: impl Fn() -> M) {
+    let exploration = explore(start, MAX_STATES);
+    println!("{name}: {exploration}");
     assert!(
-        found.violation.is_some(),
-        "the broken rule was not found: {found}"
+        exploration.violation.is_some(),
+        "no violation was detected: {exploration}"
     );
 }
 
 fn claim_budgets() -> claims::Budgets {
     claims::Budgets {
-        asks: 1,
-        losses: 0,
-        doubles: 0,
+        requests: 1,
+        lost_messages: 0,
+        duplicate_appends: 0,
         crashes: 0,
-        timeouts: 0,
-        returns: 0,
+        claim_timeouts: 0,
+        log_restores: 0,
     }
 }
 
 #[test]
 fn claims_hold_under_lost_messages() {
     let budgets = claims::Budgets {
-        losses: 2,
+        lost_messages: 2,
         ..claim_budgets()
     };
     assert_holds("claims, lost messages", || {
@@ -45,36 +45,36 @@
 }
 
 #[test]
-fn claims_hold_under_doubled_appends() {
+fn claims_hold_under_duplicate_appends() {
     let budgets = claims::Budgets {
-        doubles: 2,
+        duplicate_appends: 2,
         ..claim_budgets()
     };
-    assert_holds("claims, doubled appends", || {
+    assert_holds("claims, duplicate appends", || {
         claims::Claims::new(budgets, None)
     });
 }
 
 #[test]
-fn claims_hold_when_a_box_dies_and_comes_back() {
+fn claims_hold_when_a_box_crashes_and_restarts() {
     let budgets = claims::Budgets {
         crashes: 1,
-        losses: 1,
+        lost_messages: 1,
         ..claim_budgets()
     };
-    assert_holds("claims, a death and a loss", || {
+    assert_holds("claims, a crash and a lost message", || {
         claims::Claims::new(budgets, None)
     });
 }
 
 #[test]
-fn claims_hold_when_waits_pass_while_appends_are_on_their_way() {
+fn claims_hold_when_waits_expire_while_appends_are_in_flight() {
     let budgets = claims::Budgets {
-        timeouts: 1,
-        losses: 1,
+        claim_timeouts: 1,
+        lost_messages: 1,
         ..claim_budgets()
     };
-    assert_holds("claims, a wait and a loss", || {
+    assert_holds("claims, an expired wait and a lost message", || {
         claims::Claims::new(budgets, None)
     });
 }
@@ -82,22 +82,22 @@
 #[test]
 fn claims_hold_when_the_log_comes_back_from_a_copy() {
     let budgets = claims::Budgets {
-        returns: 1,
+        log_restores: 1,
         ..claim_budgets()
     };
-    assert_holds("claims, a return from a copy", || {
+    assert_holds("claims, a log restore", || {
         claims::Claims::new(budgets, None)
     });
 }
 
 #[test]
-fn claims_hold_when_the_log_comes_back_from_a_copy_around_a_death() {
+fn claims_hold_when_the_log_is_restored_around_a_crash() {
     let budgets = claims::Budgets {
-        returns: 1,
+        log_restores: 1,
         crashes: 1,
         ..claim_budgets()
     };
-    assert_holds("claims, a return from a copy and a death", || {
+    assert_holds("claims, a log restore and a crash", || {
         claims::Claims::new(budgets, None)
     });
 }
@@ -105,99 +105,99 @@
 #[test]
 fn a_return_that_goes_unnoticed_is_found() {
     let budgets = claims::Budgets {
-        returns: 1,
+        log_restores: 1,
         ..claim_budgets()
     };
-    let broken = Some(claims::Broken::ReturnUnnoticed);
-    assert_found("return unnoticed", || claims::Claims::new(budgets, broken));
+    let mutation = Some(claims::Mutation::RestoreUnnoticed);
+    assert_detects_violation("missed restore", || claims::Claims::new(budgets, mutation));
 }
 
 #[test]
-fn a_takeover_is_found() {
-    let broken = Some(claims::Broken::TakeoverAllowed);
-    assert_found("takeover allowed", || {
-        claims::Claims::new(claim_budgets(), broken)
+fn a_claim_takeover_is_detected() {
+    let mutation = Some(claims::Mutation::TakeoverAllowed);
+    assert_detects_violation("takeover allowed", || {
+        claims::Claims::new(claim_budgets(), mutation)
     });
 }
 
 #[test]
-fn a_release_after_dispatch_is_found() {
+fn a_release_after_dispatch_is_detected() {
     let budgets = claims::Budgets {
-        doubles: 1,
+        duplicate_appends: 1,
         ..claim_budgets()
     };
-    let broken = Some(claims::Broken::ReleaseAfterDispatch);
-    assert_found("release after dispatch", || {
-        claims::Claims::new(budgets, broken)
+    let mutation = Some(claims::Mutation::ReleaseAfterDispatch);
+    assert_detects_violation("release after dispatch", || {
+        claims::Claims::new(budgets, mutation)
     });
 }
 
 fn lineage_budgets() -> lineage::Budgets {
     lineage::Budgets {
-        losses: 0,
-        doubles: 0,
-        deaths: 0,
-        timeouts: 0,
+        lost_messages: 0,
+        duplicate_responses: 0,
+        crashes: 0,
+        call_timeouts: 0,
     }
 }
 
 #[test]
-fn the_lineage_holds_under_lost_and_doubled_answers() {
+fn the_lineage_holds_under_lost_and_duplicate_responses() {
     let budgets = lineage::Budgets {
-        losses: 1,
-        doubles: 1,
+        lost_messages: 1,
+        duplicate_responses: 1,
         ..lineage_budgets()
     };
-    assert_holds("lineage, a loss and a double", || {
+    assert_holds("lineage, a lost message and a duplicate", || {
         lineage::Lineage::new(budgets, None)
     });
 }
 
 #[test]
-fn the_lineage_holds_under_late_answers() {
+fn the_lineage_holds_under_late_responses() {
     let budgets = lineage::Budgets {
-        timeouts: 2,
+        call_timeouts: 2,
         ..lineage_budgets()
     };
-    assert_holds("lineage, two late answers", || {
+    assert_holds("lineage, two late responses", || {
         lineage::Lineage::new(budgets, None)
     });
 }
 
 #[test]
-fn the_lineage_holds_when_engines_die() {
+fn the_lineage_holds_when_engines_crash() {
     let budgets = lineage::Budgets {
-        deaths: 1,
-        losses: 1,
+        crashes: 1,
+        lost_messages: 1,
         ..lineage_budgets()
     };
-    assert_holds("lineage, a death and a loss", || {
+    assert_holds("lineage, a crash and a lost message", || {
         lineage::Lineage::new(budgets, None)
     });
 }
 
 #[test]
-fn attempts_that_are_not_compared_are_found() {
+fn an_uncompared_attempt_is_detected() {
     let budgets = lineage::Budgets {
-        timeouts: 1,
-        doubles: 1,
+        call_timeouts: 1,
+        duplicate_responses: 1,
         ..lineage_budgets()
     };
-    let broken = Some(lineage::Broken::AttemptNotCompared);
-    assert_found("attempt not compared", || {
-        lineage::Lineage::new(budgets, broken)
+    let mutation = Some(lineage::Mutation::AttemptNotCompared);
+    assert_detects_violation("attempt not compared", || {
+        lineage::Lineage::new(budgets, mutation)
     });
 }
 
 #[test]
-fn the_configuration_never_goes_back() {
+fn the_configuration_offset_never_decreases() {
     assert_holds("configuration", || config::Config::new(None));
 }
 
 #[test]
-fn an_offset_that_goes_back_and_a_gap_that_is_skipped_are_found() {
-    let back = Some(config::Broken::OffsetMayGoBack);
-    assert_found("offset may go back", || config::Config::new(back));
-    let gap = Some(config::Broken::GapSkipped);
-    assert_found("gap skipped", || config::Config::new(gap));
+fn a_decreasing_offset_and_a_skipped_gap_are_detected() {
+    let decrease = Some(config::Mutation::OffsetDecreases);
+    assert_detects_violation("offset decreases", || config::Config::new(decrease));
+    let gap = Some(config::Mutation::GapSkipped);
+    assert_detects_violation("gap skipped", || config::Config::new(gap));
 }
