--- a/reachtally-spec/src/lineage.rs
+++ b/reachtally-spec/src/lineage.rs
@@ -236,8 +236,8 @@
         let Some(Ok(end)) = &self.end else {
             return None;
         };
-        // A crashed engine's ledger is no longer among `engines`, so ledgers are compared only if no
-        // engine has crashed; the lineage itself is always checked.
+        // A crashed engine's ledger is no longer among `engines`, so ledgers are compared only if
+        // no engine has crashed; the lineage itself is always checked.
         let positions = end.prompt_tokens + end.completion_tokens - 1;
         if let Err(err) = end.lineage.check(LAYERS, positions) {
             return Some(format!("{err:?}"));
--- a/reachtally-standin/src/engine/faults.rs
+++ b/reachtally-standin/src/engine/faults.rs
@@ -1,39 +1,39 @@
-//! Faults that a test or an operator of the stand-in injects while it runs.
+//! Faults that a test or an operator injects into a running stand-in.
 
 use std::time::Duration;
 
 use serde::{Deserialize, Serialize};
 
-/// One fault.
+/// A fault to inject.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Fault {
-    /// Close the port and every connection.
+    /// Closes the port and every connection.
     Die,
-    /// Answer nothing for so many milliseconds; what arrives meanwhile runs afterwards.
+    /// Delays processing by this many milliseconds; calls that arrive meanwhile run afterwards.
     PauseMs(u64),
-    /// Take so many times longer for each iteration.
+    /// Multiplies the duration of each iteration by this factor.
     Slow(f64),
-    /// Run the steps of so many calls, then fail the call.
+    /// Runs the steps of this many calls, then fails the calls.
     LoseAnswers(u32),
-    /// Give the results of so many calls twice.
+    /// Returns the results of this many calls twice.
     DoubleAnswers(u32),
-    /// Refuse so many calls as not run.
+    /// Rejects this many calls as not run.
     Refuse(u32),
 }
 
-/// The faults in effect.
+/// The active faults.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Faults {
-    /// Remaining pause.
+    /// Pause before the next iteration or call.
     pub pause: Duration,
-    /// Factor on each iteration's time.
+    /// Factor applied to the duration of each iteration.
     pub slow: f64,
-    /// Answers still to lose.
+    /// Number of next responses to lose.
     pub lose_answers: u32,
-    /// Answers still to double.
+    /// Number of next responses to duplicate.
     pub double_answers: u32,
-    /// Calls still to refuse.
+    /// Number of next calls to reject.
     pub refuse: u32,
 }
 
@@ -50,7 +50,7 @@
 }
 
 impl Faults {
-    /// Put a fault in effect; `Die` is the server's.
+    /// Activates a fault. `Die` is handled by the server.
     pub fn set(&mut self, fault: Fault) {
         match fault {
             Fault::Die => {}
@@ -62,8 +62,8 @@
         }
     }
 
-    /// Take one from a count of calls; `true` if the fault applies.
-    pub fn take(count: &mut u32) -> bool {
+    /// Decrements a count of affected calls and returns whether the fault applies to this call.
+    pub fn consume(count: &mut u32) -> bool {
         let applies = *count > 0;
         *count = count.saturating_sub(1);
         applies
--- a/reachtally-standin/src/engine/kv.rs
+++ b/reachtally-standin/src/engine/kv.rs
@@ -1,14 +1,14 @@
-//! KV of the requests that an engine serves, and the attempts it must not run any more.
+//! KV of the requests that an engine serves, and the released attempts that it must not run again.
 
 use std::collections::{HashMap, VecDeque};
 
 use reachtally_core::ids::RequestId;
 use serde::{Deserialize, Serialize};
 
-/// Released attempts remembered.
-const RELEASED_MAX: usize = 65_536;
+/// Maximum number of requests whose released attempts are kept; the oldest are dropped.
+const MAX_RELEASED: usize = 65_536;
 
-/// KV of one request: a digest for each layer.
+/// KV of one request, represented by a digest for each layer.
 #[derive(Debug, Clone)]
 pub(super) struct Kv {
     pub attempt: u32,
@@ -16,16 +16,16 @@
     pub digests: Vec<u64>,
 }
 
-/// KV of one request as it is exported and imported.
+/// KV of one request in its export format.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct KvExport {
-    /// Positions that it covers.
+    /// Number of covered positions.
     pub positions: u32,
-    /// Digest of each layer's KV.
+    /// KV digest of each layer.
     pub digests: Vec<u64>,
 }
 
-/// KV of all requests.
+/// KV of all requests of an engine.
 #[derive(Debug, Default)]
 pub(super) struct KvStore {
     by_request: HashMap<RequestId, Kv>,
@@ -42,12 +42,12 @@
         self.by_request.contains_key(&request)
     }
 
-    /// Whether `attempt` was released, or a higher one was seen.
+    /// Returns whether `attempt` or a later one was released, or a later one was seen.
     pub fn is_stale(&self, request: RequestId, attempt: u32) -> bool {
         let released = self
             .released
             .get(&request)
-            .is_some_and(|last| attempt <= *last);
+            .is_some_and(|highest| attempt <= *highest);
         let seen = self
             .by_request
             .get(&request)
@@ -55,7 +55,7 @@
         released || seen
     }
 
-    /// The KV of a request, empty if there was none.
+    /// Returns the KV of a request and inserts empty KV if there is none.
     pub fn entry(&mut self, request: RequestId, layers: u32) -> &mut Kv {
         self.by_request.entry(request).or_insert_with(|| Kv {
             attempt: 0,
@@ -89,7 +89,7 @@
         if self.released.insert(request, attempt).is_none() {
             self.released_order.push_back(request);
         }
-        if self.released_order.len() > RELEASED_MAX
+        if self.released_order.len() > MAX_RELEASED
             && let Some(oldest) = self.released_order.pop_front()
         {
             self.released.remove(&oldest);
--- a/reachtally-standin/src/engine/ledger.rs
+++ b/reachtally-standin/src/engine/ledger.rs
@@ -1,4 +1,4 @@
-//! What an engine ran, run-length encoded.
+//! The ledger of the positions that an engine ran, run-length encoded.
 
 use std::collections::HashMap;
 
@@ -6,29 +6,29 @@
 use reachtally_core::ids::RequestId;
 use serde::{Deserialize, Serialize};
 
-/// A run of positions that an engine ran all its layers on.
+/// A range of positions that an engine ran through all its layers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LedgerRun {
-    /// The attempt of the steps.
+    /// Attempt that the steps belong to.
     pub attempt: u32,
     /// First position.
     pub from: u32,
     /// One past the last position.
     pub end: u32,
-    /// Whether it only rebuilt KV.
+    /// Whether the run only restored KV.
     pub restore: bool,
 }
 
-/// The ledger of one engine.
+/// The ledger of an engine.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Ledger {
-    /// The layers each run covers.
+    /// Layers that each run covers.
     pub layers: Layers,
     runs: HashMap<RequestId, Vec<LedgerRun>>,
 }
 
 impl Ledger {
-    /// An empty ledger of an engine with these layers.
+    /// Creates an empty ledger for an engine with these layers.
     pub fn new(layers: Layers) -> Self {
         Ledger {
             layers,
@@ -36,7 +36,7 @@
         }
     }
 
-    /// Record that `from..end` was run.
+    /// Records a run and merges it with the previous one if they are contiguous.
     pub fn record(&mut self, request: RequestId, run: LedgerRun) {
         if run.from >= run.end {
             return;
@@ -54,7 +54,7 @@
         }
     }
 
-    /// The runs of one request, in order.
+    /// Returns the runs of one request, in order.
     pub fn of(&self, request: RequestId) -> &[LedgerRun] {
         self.runs.get(&request).map_or(&[], Vec::as_slice)
     }
--- a/reachtally-standin/src/engine/mod.rs
+++ b/reachtally-standin/src/engine/mod.rs
@@ -1,4 +1,4 @@
-//! An engine that holds a layer range of a model.
+//! A stand-in engine that serves a layer range of a model.
 
 mod faults;
 mod kv;
--- a/reachtally-standin/src/engine/orders.rs
+++ b/reachtally-standin/src/engine/orders.rs
@@ -1,35 +1,35 @@
-//! Orders to an engine: what to load or unload, with or without a fence.
+//! Load, unload and stop orders to an engine, with optional fencing.
 
 use std::collections::BTreeSet;
 
 use reachtally_target::order::{Action, OrderBody};
 
-/// Why an order was not taken.
+/// Error for an order whose fence is lower than one seen before.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct OutdatedFence {
-    /// The highest fence seen.
-    pub highest: u64,
+    /// Highest fence seen so far.
+    pub highest_fence: u64,
 }
 
-/// What an engine was ordered to do.
+/// State that results from the orders to an engine.
 #[derive(Debug, Default)]
 pub(super) struct Orders {
-    highest: u64,
+    highest_fence: u64,
     pub loaded: BTreeSet<String>,
-    pub taken: u64,
+    pub accepted: u64,
     pub stopped: bool,
 }
 
 impl Orders {
-    /// Take an order; an engine that checks fences refuses one with an outdated fence.
-    pub fn take(&mut self, order: OrderBody, checks_fence: bool) -> Result<(), OutdatedFence> {
-        if checks_fence && order.fence < self.highest {
+    /// Applies an order. An engine that checks fences rejects an outdated fence.
+    pub fn apply(&mut self, order: OrderBody, checks_fence: bool) -> Result<(), OutdatedFence> {
+        if checks_fence && order.fence < self.highest_fence {
             return Err(OutdatedFence {
-                highest: self.highest,
+                highest_fence: self.highest_fence,
             });
         }
-        self.highest = self.highest.max(order.fence);
-        self.taken += 1;
+        self.highest_fence = self.highest_fence.max(order.fence);
+        self.accepted += 1;
         match order.action {
             Action::Load(name) => {
                 self.loaded.insert(name);
--- a/reachtally-standin/src/engine/reports.rs
+++ b/reachtally-standin/src/engine/reports.rs
@@ -1,4 +1,4 @@
-//! What an engine reports of itself: load with a lag, cache events late and with gaps.
+//! Reports of an engine: delayed load samples, and delayed cache events with gaps.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -6,32 +6,32 @@
 use serde::{Deserialize, Serialize};
 use tokio::time::Instant;
 
-/// Every so many cache events one is lost.
-const EVENT_GAP: u64 = 10;
-/// Load samples and events kept.
-const KEPT: usize = 1024;
+/// One in this many cache events is lost.
+const EVENT_LOSS_INTERVAL: u64 = 10;
+/// Maximum number of buffered load samples and of buffered events.
+const MAX_BUFFERED: usize = 1024;
 
-/// The load of an engine at some moment.
+/// A load sample of an engine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Serialize, Deserialize)]
 pub struct Load {
-    /// Requests whose KV it holds.
+    /// Number of requests whose KV the engine holds.
     pub requests: usize,
-    /// Requests it can hold.
+    /// Number of requests whose KV fits.
     pub slots: u32,
-    /// Steps run since it started.
+    /// Steps run since the engine started.
     pub steps_run: u64,
 }
 
-/// A prompt entered the engine's prefix cache.
+/// Reports that a prompt was added to the engine's prefix cache.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CacheEvent {
-    /// Its number; gaps in the numbers are events that were lost.
+    /// Sequence number; a gap means that events were lost.
     pub seq: u64,
     /// Hash of the prompt.
     pub prefix: u64,
 }
 
-/// Reports on their way out.
+/// Load samples and events that become visible after `lag`.
 #[derive(Debug)]
 pub(super) struct Reports {
     lag: Duration,
@@ -50,16 +50,16 @@
         }
     }
 
-    pub fn note_load(&mut self, load: Load) {
+    pub fn record_load(&mut self, load: Load) {
         self.loads.push_back((Instant::now(), load));
-        if self.loads.len() > KEPT {
+        if self.loads.len() > MAX_BUFFERED {
             self.loads.pop_front();
         }
     }
 
-    pub fn note_prompt(&mut self, prefix: u64) {
+    pub fn record_prompt(&mut self, prefix: u64) {
         self.event_seq += 1;
-        if self.event_seq.is_multiple_of(EVENT_GAP) {
+        if self.event_seq.is_multiple_of(EVENT_LOSS_INTERVAL) {
             return;
         }
         let event = CacheEvent {
@@ -67,22 +67,22 @@
             prefix,
         };
         self.events.push_back((Instant::now(), event));
-        if self.events.len() > KEPT {
+        if self.events.len() > MAX_BUFFERED {
             self.events.pop_front();
         }
     }
 
-    /// The last load that is older than the lag.
+    /// Returns the latest load sample that is at least `lag` old.
     pub fn load(&self) -> Load {
-        let old = self
+        let sample = self
             .loads
             .iter()
             .rev()
             .find(|(at, _)| at.elapsed() >= self.lag);
-        old.map_or(Load::default(), |(_, load)| *load)
+        sample.map_or(Load::default(), |(_, load)| *load)
     }
 
-    /// The events after number `after` that are older than the lag.
+    /// Returns the events with numbers above `after` that are at least `lag` old.
     pub fn events(&self, after: u64) -> Vec<CacheEvent> {
         let due = self
             .events
--- a/reachtally-standin/src/engine/server.rs
+++ b/reachtally-standin/src/engine/server.rs
@@ -1,4 +1,4 @@
-//! The engine's HTTP routes and its iteration loop.
+//! The HTTP routes and the iteration loop of an engine.
 
 use std::sync::{Arc, Mutex, MutexGuard};
 use std::time::Duration;
@@ -21,7 +21,7 @@
 use super::reports::{CacheEvent, Load};
 use super::state::{Options, State};
 
-/// The longest body taken.
+/// Maximum request body size.
 const BODY_MAX_MIB: u64 = 64;
 
 struct Job {
@@ -47,53 +47,53 @@
         .unwrap_or_else(|poisoned| poisoned.into_inner())
 }
 
-/// A running engine.
+/// A running engine server.
 pub struct Engine {
     listener: Listener,
     shared: Shared,
 }
 
 impl Engine {
-    /// Its base address.
+    /// Returns the base URL.
     pub fn url(&self) -> String {
         self.listener.url()
     }
 
-    /// Inject a fault.
+    /// Injects a fault.
     pub fn fault(&self, fault: Fault) {
         inject(&self.shared, &self.listener.closer(), fault);
     }
 
-    /// A copy of its ledger.
+    /// Returns a copy of the ledger.
     pub fn ledger(&self) -> Ledger {
         self.shared.lock().ledger().clone()
     }
 
-    /// Steps run since it started.
+    /// Returns the number of steps run since the start.
     pub fn steps_run(&self) -> u64 {
         self.shared.lock().steps_run
     }
 
-    /// Requests whose KV it holds.
+    /// Returns the number of requests whose KV the engine holds.
     pub fn requests_held(&self) -> usize {
         self.shared.lock().requests_held()
     }
 
-    /// Close it.
+    /// Stops the server.
     pub async fn stop(self) {
         self.listener.stop().await;
     }
 
-    /// Wait until it dies of a fault.
+    /// Waits until the server stops, for example by [`Fault::Die`].
     pub async fn stopped(self) {
         self.listener.stopped().await;
     }
 }
 
-/// Start an engine.
+/// Starts an engine server.
 ///
 /// # Errors
-/// If the address can't be bound.
+/// Returns an error if the address can't be bound.
 pub async fn start(listen: reachtally_listen::Options, options: Options) -> Result<Engine, Error> {
     let (jobs, rx) = mpsc::unbounded_channel();
     let shared = Shared {
@@ -123,8 +123,8 @@
     Ok(Engine { listener, shared })
 }
 
-/// Continuous batching: each iteration takes the calls that wait, those of a higher priority first,
-/// up to a number of positions; all of them end with it.
+/// Runs the continuous batching loop. Each iteration runs the waiting calls in order of priority,
+/// up to the configured number of positions, and responds to all of them when it ends.
 async fn iterate(state: Arc<Mutex<State>>, mut rx: mpsc::UnboundedReceiver<Job>) {
     let mut waiting = Vec::new();
     loop {
@@ -137,39 +137,39 @@
         while let Ok(job) = rx.try_recv() {
             waiting.push(job);
         }
-        let most = lock(&state).options.iteration_positions;
-        let jobs = take_iteration(&mut waiting, most);
-        let positions: u32 = jobs.iter().map(|job| positions(&job.batch)).sum();
+        let max_positions = lock(&state).options.iteration_positions;
+        let jobs = take_iteration(&mut waiting, max_positions);
+        let positions: u32 = jobs.iter().map(|job| batch_positions(&job.batch)).sum();
         let wait = iteration_time(&mut lock(&state), positions);
         if !wait.is_zero() {
             tokio::time::sleep(wait).await;
         }
         for job in jobs {
             let results = lock(&state).run(job.batch);
-            // The caller may have hung up; its steps ran all the same.
+            // Fails if the caller disconnected; the steps ran regardless.
             job.done.send(results).ok();
         }
     }
 }
 
-fn priority(job: &Job) -> u32 {
+fn max_priority(job: &Job) -> u32 {
     let priorities = job.batch.steps.iter().map(|step| step.priority);
     priorities.max().unwrap_or(0)
 }
 
-/// Take the calls of the next iteration: at least one, by priority, then by arrival.
-fn take_iteration(waiting: &mut Vec<Job>, most: u32) -> Vec<Job> {
-    waiting.sort_by_key(|job| std::cmp::Reverse(priority(job)));
+/// Removes the calls of the next iteration: at least one, by priority, then by arrival.
+fn take_iteration(waiting: &mut Vec<Job>, max_positions: u32) -> Vec<Job> {
+    waiting.sort_by_key(|job| std::cmp::Reverse(max_priority(job)));
     let mut sum = 0;
     let fits = |job: &&Job| {
-        sum += positions(&job.batch);
-        sum <= most
+        sum += batch_positions(&job.batch);
+        sum <= max_positions
     };
     let count = waiting.iter().take_while(fits).count().max(1);
     waiting.drain(..count).collect()
 }
 
-fn positions(batch: &Batch) -> u32 {
+fn batch_positions(batch: &Batch) -> u32 {
     batch.steps.iter().map(super::state::positions).sum()
 }
 
@@ -209,7 +209,7 @@
         return Err(Status::PayloadTooLarge);
     }
     let batch = wire::decode_batch(body.into_inner().into()).map_err(|_| Status::BadRequest)?;
-    if Faults::take(&mut shared.lock().faults.refuse) {
+    if Faults::consume(&mut shared.lock().faults.refuse) {
         return Ok(StepsAnswer::NotRun);
     }
     let (done, results) = oneshot::channel();
@@ -220,10 +220,10 @@
         .map_err(|_| Status::ServiceUnavailable)?;
     let mut results = results.await.map_err(|_| Status::ServiceUnavailable)?;
     let mut state = shared.lock();
-    if Faults::take(&mut state.faults.lose_answers) {
+    if Faults::consume(&mut state.faults.lose_answers) {
         return Ok(StepsAnswer::Lost);
     }
-    if Faults::take(&mut state.faults.double_answers) {
+    if Faults::consume(&mut state.faults.double_answers) {
         results.extend(results.clone());
     }
     drop(state);
@@ -251,8 +251,8 @@
     shared: &rocket::State<Shared>,
     closer: Shutdown,
 ) -> Result<(), Status> {
-    let taken = shared.lock().order(order.into_inner());
-    taken.map_err(|_| Status::Conflict)?;
+    let result = shared.lock().order(order.into_inner());
+    result.map_err(|_| Status::Conflict)?;
     if shared.lock().is_stopped() {
         closer.notify();
     }
@@ -264,7 +264,7 @@
     Json(shared.lock().report())
 }
 
-fn id(incarnation: u64, seq: u64) -> RequestId {
+fn request_id(incarnation: u64, seq: u64) -> RequestId {
     RequestId {
         incarnation: reachtally_core::Incarnation(incarnation),
         seq,
@@ -273,7 +273,7 @@
 
 #[get("/v1/kv/<incarnation>/<seq>")]
 fn export(incarnation: u64, seq: u64, shared: &rocket::State<Shared>) -> Result<Exported, Status> {
-    let export = shared.lock().export(id(incarnation, seq));
+    let export = shared.lock().export(request_id(incarnation, seq));
     export.map(Exported).ok_or(Status::NotFound)
 }
 
@@ -297,13 +297,19 @@
 ) -> Result<(), Status> {
     let fits = shared
         .lock()
-        .import(id(incarnation, seq), export.into_inner());
+        .import(request_id(incarnation, seq), export.into_inner());
     fits.then_some(()).ok_or(Status::UnprocessableEntity)
 }
 
 #[get("/ledger/<incarnation>/<seq>")]
 fn ledger(incarnation: u64, seq: u64, shared: &rocket::State<Shared>) -> Json<Vec<LedgerRun>> {
-    Json(shared.lock().ledger().of(id(incarnation, seq)).to_vec())
+    Json(
+        shared
+            .lock()
+            .ledger()
+            .of(request_id(incarnation, seq))
+            .to_vec(),
+    )
 }
 
 #[post("/faults", data = "<fault>")]
--- a/reachtally-standin/src/engine/state.rs
+++ b/reachtally-standin/src/engine/state.rs
@@ -1,4 +1,4 @@
-//! Running steps: KV, ledger, and the function of [`model`](super::model).
+//! The state of an engine, which runs steps with the function of [`model`](super::model).
 
 use std::time::Duration;
 
@@ -16,37 +16,38 @@
 use super::reports::{CacheEvent, Load, Reports};
 use super::timing::StepTime;
 
-/// What an engine is.
+/// Options of an engine.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Options {
-    /// The layers it holds.
+    /// Layers that the engine holds.
     pub layers: Layers,
-    /// Layers of the whole model.
+    /// Number of layers of the whole model.
     pub model_layers: u32,
-    /// Requests whose KV fits.
+    /// Number of requests whose KV fits.
     pub slots: u32,
-    /// Bytes of one activation, at least [`model::VALUE_BYTES`].
+    /// Size of one activation in bytes, at least [`model::VALUE_BYTES`].
     pub activation_bytes: usize,
     /// Step-time model.
     pub step_time: StepTime,
-    /// Whether answers may end before the caller's token limit.
+    /// Whether completions may end before the caller's token limit.
     pub ends: bool,
     /// Whether to keep a ledger.
     pub ledger: bool,
-    /// Whether orders with an outdated fence are refused.
+    /// Whether orders with an outdated fence are rejected.
     pub checks_fence: bool,
-    /// Lag of the load and the cache events that it reports.
+    /// Delay of reported load and cache events.
     pub report_lag: Duration,
-    /// Positions in one iteration at most; what is left waits, lower priorities longest.
+    /// Maximum number of positions in one iteration; calls of lower priority wait longer.
     pub iteration_positions: u32,
 }
 
 impl Options {
-    /// An engine for layers `first..end` of `of`, without step times.
-    pub fn range(first: u32, end: u32, of: u32) -> Self {
+    /// Returns options for layers `first..end` of a model with `total_layers` layers and zero step
+    /// times.
+    pub fn range(first: u32, end: u32, total_layers: u32) -> Self {
         Options {
             layers: Layers { first, end },
-            model_layers: of,
+            model_layers: total_layers,
             slots: 4096,
             activation_bytes: 64,
             step_time: StepTime::NONE,
@@ -59,7 +60,7 @@
     }
 }
 
-/// The state of one engine, without sockets or clocks of its own.
+/// The state of an engine, without sockets or timers.
 #[derive(Debug)]
 pub struct State {
     pub(super) options: Options,
@@ -72,7 +73,7 @@
 }
 
 impl State {
-    /// An engine that holds nothing yet.
+    /// Creates an engine without KV.
     pub fn new(options: Options) -> Self {
         State {
             options,
@@ -85,20 +86,20 @@
         }
     }
 
-    /// What it ran.
+    /// Returns the ledger of the steps run.
     pub fn ledger(&self) -> &Ledger {
         &self.ledger
     }
 
-    /// Take an order.
+    /// Applies an order.
     ///
     /// # Errors
-    /// If the engine checks fences and this one is outdated.
+    /// Returns an error if the engine checks fences and this one is outdated.
     pub fn order(&mut self, order: OrderBody) -> Result<(), OutdatedFence> {
-        self.orders.take(order, self.options.checks_fence)
+        self.orders.apply(order, self.options.checks_fence)
     }
 
-    /// What it reports to the one who gives orders.
+    /// Returns the report for the sender of orders.
     pub fn report(&self) -> ReportBody {
         ReportBody {
             loaded: self.orders.loaded.clone(),
@@ -106,32 +107,32 @@
         }
     }
 
-    /// The load that it reports, which lags.
+    /// Returns the reported load, which is delayed by `report_lag`.
     pub fn load(&self) -> Load {
         self.reports.load()
     }
 
-    /// The cache events after number `after` that it reports, late and with gaps.
+    /// Returns the reported cache events with numbers above `after`, delayed and with gaps.
     pub fn cache_events(&self, after: u64) -> Vec<CacheEvent> {
         self.reports.events(after)
     }
 
-    /// Whether it was ordered to stop.
+    /// Returns whether the engine was ordered to stop.
     pub fn is_stopped(&self) -> bool {
         self.orders.stopped
     }
 
-    /// Orders that it took.
+    /// Returns the number of accepted orders.
     pub fn orders_taken(&self) -> u64 {
-        self.orders.taken
+        self.orders.accepted
     }
 
-    /// KV of a request, if it is held.
+    /// Exports the KV of a request, if the engine holds it.
     pub fn export(&self, request: RequestId) -> Option<KvExport> {
         self.kv.export(request)
     }
 
-    /// Take KV of a request; `false` if it is of another layer range.
+    /// Imports the KV of a request; returns `false` if it covers a different number of layers.
     pub fn import(&mut self, request: RequestId, export: KvExport) -> bool {
         let fits = export.digests.len() == self.options.layers.count() as usize;
         if fits {
@@ -140,35 +141,35 @@
         fits
     }
 
-    fn note(&mut self) {
+    fn record_load(&mut self) {
         let load = Load {
             requests: self.kv.len(),
             slots: self.options.slots,
             steps_run: self.steps_run,
         };
-        self.reports.note_load(load);
+        self.reports.record_load(load);
     }
 
-    /// Requests whose KV it holds.
+    /// Returns the number of requests whose KV the engine holds.
     pub fn requests_held(&self) -> usize {
         self.kv.len()
     }
 
-    /// Run the steps of one call, after its releases.
+    /// Applies the releases of a call, then runs its steps.
     pub fn run(&mut self, batch: Batch) -> Vec<StepResult> {
         for release in batch.releases {
             self.kv.release(release.request, release.attempt);
         }
         let steps = batch.steps.into_iter();
         let results = steps.map(|step| self.run_step(step)).collect();
-        self.note();
+        self.record_load();
         results
     }
 
     fn run_step(&mut self, step: Step) -> StepResult {
-        let end = match self.positions_of(&step) {
+        let end = match self.input_positions(&step) {
             Ok(count) => step.from + count,
-            Err(refusal) => return refuse(&step, refusal),
+            Err(refusal) => return refused(&step, refusal),
         };
         match self.advance(&step, end) {
             Ok(output) => StepResult {
@@ -178,15 +179,15 @@
                 positions: end - step.outputs_from,
                 output: Ok(output),
             },
-            Err(refusal) => refuse(&step, refusal),
+            Err(refusal) => refused(&step, refusal),
         }
     }
 
-    /// The positions of the step's input, if it makes sense here.
-    fn positions_of(&self, step: &Step) -> Result<u32, StepRefusal> {
-        let first = self.options.layers.first == 0;
+    /// Validates the step's input and returns its number of positions.
+    fn input_positions(&self, step: &Step) -> Result<u32, StepRefusal> {
+        let is_first_stage = self.options.layers.first == 0;
         let count = match &step.input {
-            Input::Tokens { text, tokens } if first => {
+            Input::Tokens { text, tokens } if is_first_stage => {
                 let prompt = if text.is_empty() {
                     0
                 } else {
@@ -194,7 +195,7 @@
                 };
                 (prompt + tokens.len()) as u32
             }
-            Input::Activations(bytes) if !first => {
+            Input::Activations(bytes) if !is_first_stage => {
                 let fits = step.positions > 0
                     && bytes.len().is_multiple_of(step.positions as usize)
                     && bytes.len() / step.positions as usize >= model::VALUE_BYTES;
@@ -205,9 +206,9 @@
             }
             _ => return Err(StepRefusal::Malformed),
         };
-        let agrees = step.positions == 0 || step.positions == count;
-        let wanted = step.outputs_from < step.from + count;
-        if count > 0 && agrees && wanted && step.outputs_from >= step.from {
+        let count_matches = step.positions == 0 || step.positions == count;
+        let has_outputs = step.outputs_from < step.from + count;
+        if count > 0 && count_matches && has_outputs && step.outputs_from >= step.from {
             Ok(count)
         } else {
             Err(StepRefusal::Malformed)
@@ -219,8 +220,8 @@
         if self.kv.is_stale(step.request, step.attempt) {
             return Err(StepRefusal::StaleAttempt);
         }
-        let full = self.kv.len() >= self.options.slots as usize;
-        if full && !self.kv.contains(step.request) {
+        let is_full = self.kv.len() >= self.options.slots as usize;
+        if is_full && !self.kv.contains(step.request) {
             return Err(StepRefusal::Busy);
         }
         let kv = self.kv.entry(step.request, layers.count());
@@ -233,15 +234,15 @@
         }
         kv.positions = end;
         let salt = model::adapter_salt(&step.adapter);
-        let outputs: Vec<u64> = inputs(step)
+        let outputs: Vec<u64> = layer_inputs(step)
             .into_iter()
-            .map(|input| forward(layers, salt, input, &mut kv.digests))
+            .map(|input| run_layers(layers, salt, input, &mut kv.digests))
             .collect();
         self.steps_run += 1;
         if let Input::Tokens { text, .. } = &step.input
             && !text.is_empty()
         {
-            self.reports.note_prompt(model::adapter_salt(text));
+            self.reports.record_prompt(model::adapter_salt(text));
         }
         self.record(step, end);
         Ok(self.output(step, &outputs))
@@ -264,11 +265,11 @@
     }
 
     fn output(&self, step: &Step, outputs: &[u64]) -> Output {
-        let wanted = &outputs[(step.outputs_from - step.from) as usize..];
+        let requested = &outputs[(step.outputs_from - step.from) as usize..];
         if self.options.layers.end < self.options.model_layers {
-            return Output::Activations(activations(wanted, self.options.activation_bytes));
+            return Output::Activations(activations(requested, self.options.activation_bytes));
         }
-        let last = wanted.last().copied().unwrap_or_default();
+        let last = requested.last().copied().unwrap_or_default();
         let token = model::sample(last, self.options.ends);
         Output::Token {
             id: token.id,
@@ -278,7 +279,7 @@
     }
 }
 
-fn refuse(step: &Step, refusal: StepRefusal) -> StepResult {
+fn refused(step: &Step, refusal: StepRefusal) -> StepResult {
     StepResult {
         request: step.request,
         attempt: step.attempt,
@@ -288,7 +289,7 @@
     }
 }
 
-fn inputs(step: &Step) -> Vec<u64> {
+fn layer_inputs(step: &Step) -> Vec<u64> {
     match &step.input {
         Input::Tokens { text, tokens } => {
             let prompt = if text.is_empty() {
@@ -303,28 +304,31 @@
                 .collect()
         }
         Input::Activations(bytes) => {
-            let unit = bytes.len() / step.positions.max(1) as usize;
-            bytes.chunks_exact(unit).map(value).collect()
+            let activation_bytes = bytes.len() / step.positions.max(1) as usize;
+            bytes
+                .chunks_exact(activation_bytes)
+                .map(read_value)
+                .collect()
         }
     }
 }
 
-fn value(activation: &[u8]) -> u64 {
+fn read_value(activation: &[u8]) -> u64 {
     let mut value = [0; model::VALUE_BYTES];
     value.copy_from_slice(&activation[..model::VALUE_BYTES]);
     u64::from_le_bytes(value)
 }
 
-fn activations(values: &[u64], unit: usize) -> Bytes {
-    let mut buf = BytesMut::with_capacity(values.len() * unit);
+fn activations(values: &[u64], activation_bytes: usize) -> Bytes {
+    let mut buf = BytesMut::with_capacity(values.len() * activation_bytes);
     for value in values {
         buf.put_u64_le(*value);
-        buf.put_bytes(0, unit - model::VALUE_BYTES);
+        buf.put_bytes(0, activation_bytes - model::VALUE_BYTES);
     }
     buf.freeze()
 }
 
-fn forward(layers: Layers, salt: u64, input: u64, digests: &mut [u64]) -> u64 {
+fn run_layers(layers: Layers, salt: u64, input: u64, digests: &mut [u64]) -> u64 {
     (layers.first..layers.end)
         .zip(digests)
         .fold(input, |value, (number, kv)| {
@@ -332,7 +336,7 @@
         })
 }
 
-/// Positions of a step's input.
+/// Estimates the number of positions of a step's input, at least one for tokens.
 pub(crate) fn positions(step: &Step) -> u32 {
     match &step.input {
         Input::Tokens { text, tokens } => {
--- a/reachtally-standin/src/fabric/domains.rs
+++ b/reachtally-standin/src/fabric/domains.rs
@@ -1,4 +1,4 @@
-//! What passes between daemons, and between stewards and engines.
+//! Messages between daemons, and between stewards and engines.
 
 use reachtally_core::Event;
 use reachtally_core::event::{BoxStatus, Peer};
@@ -7,11 +7,11 @@
 use reachtally_core::systems::steward::Order;
 use reachtally_target::order::OrderBody;
 
-use super::queue::Happening;
-use super::{Fabric, LINK};
+use super::queue::ScheduledEvent;
+use super::{Fabric, LINK_LATENCY};
 
 impl Fabric {
-    /// Let every daemon take part in a failure domain. Their addresses are their numbers.
+    /// Joins every daemon to its failure domain. The address of a daemon is its index.
     pub fn join(&mut self, domains: &[&str]) {
         self.domains = domains.iter().map(|&domain| domain.to_owned()).collect();
         for daemon in 0..domains.len() {
@@ -19,15 +19,15 @@
         }
     }
 
-    /// Let a daemon take part in its failure domain, again after a restart.
+    /// Joins a daemon to its failure domain, also after a restart.
     pub fn rejoin(&mut self, daemon: usize) {
-        let me = MemberState {
+        let member = MemberState {
             box_name: format!("b{daemon}"),
             domain: self.domains[daemon].clone(),
             address: daemon.to_string(),
             ..MemberState::default()
         };
-        self.nodes[daemon].world.join(me, self.now);
+        self.nodes[daemon].world.join(member, self.now);
         let peers = self
             .domains
             .iter()
@@ -45,43 +45,44 @@
             leaving: false,
             peer: None,
         });
-        let seen: Vec<BoxStatus> = peers.chain(engines).collect();
-        self.handle(daemon, Event::LiveListRead(seen));
+        let statuses: Vec<BoxStatus> = peers.chain(engines).collect();
+        self.handle(daemon, Event::LiveListRead(statuses));
     }
 
-    /// The daemon at an address, unless the two are cut off from each other.
+    /// Returns the daemon at `address`, unless a partition separates it from `from`.
     fn peer(&self, from: usize, address: &str) -> Option<usize> {
         let to: usize = address.parse().ok()?;
         let cut = self.cut_peers.contains(&from) || self.cut_peers.contains(&to);
         (!cut && to < self.nodes.len()).then_some(to)
     }
 
-    pub(super) fn tell_peer(&mut self, from: usize, address: &str, event: Event) {
+    pub(super) fn send_to_peer(&mut self, from: usize, address: &str, event: Event) {
         if let Some(to) = self.peer(from, address) {
-            self.tell(to, LINK, event);
+            self.schedule_event(to, LINK_LATENCY, event);
         }
     }
 
-    pub(super) fn pull(&mut self, daemon: usize, from: &str, next: u64) {
+    pub(super) fn pull_config(&mut self, daemon: usize, from: &str, next: u64) {
         if let Some(peer) = self.peer(daemon, from) {
             let config = self.nodes[peer].world.config_for(next);
-            self.tell(daemon, LINK * 2, Event::PeerConfig(config));
+            self.schedule_event(daemon, LINK_LATENCY * 2, Event::PeerConfig(config));
         }
     }
 
     pub(super) fn revalidate(&mut self, daemon: usize, nonce: u64, peers: &[String]) {
-        let log = !self.log.down && !self.log.cut.contains(&daemon);
+        let log_reachable = !self.log.down && !self.log.cut.contains(&daemon);
         let peer = peers.iter().find_map(|address| self.peer(daemon, address));
-        if log {
-            self.queue.push(self.now + LINK, Happening::Spread);
+        if log_reachable {
+            self.queue
+                .push(self.now + LINK_LATENCY, ScheduledEvent::LogRead);
         } else if let Some(peer) = peer {
             let next = self.nodes[daemon].world.config.next();
             let config = self.nodes[peer].world.config_for(next);
-            self.tell(daemon, LINK * 2, Event::PeerConfig(config));
+            self.schedule_event(daemon, LINK_LATENCY * 2, Event::PeerConfig(config));
         } else {
             return;
         }
-        self.tell(daemon, LINK * 3, Event::Revalidated(nonce));
+        self.schedule_event(daemon, LINK_LATENCY * 3, Event::Revalidated(nonce));
     }
 
     pub(super) fn move_kv(
@@ -92,13 +93,16 @@
         (from, to): (TargetKey, TargetKey),
     ) {
         let urls = (self.nodes[daemon].url(from), self.nodes[daemon].url(to));
-        let source = self.engines.get(&urls.0).filter(|engine| engine.answers());
+        let source = self
+            .engines
+            .get(&urls.0)
+            .filter(|engine| engine.is_reachable());
         let export = source.and_then(|engine| engine.state.export(id));
-        let taker = self
+        let destination = self
             .engines
             .get_mut(&urls.1)
-            .filter(|engine| engine.answers());
-        let positions = export.zip(taker).and_then(|(export, engine)| {
+            .filter(|engine| engine.is_reachable());
+        let positions = export.zip(destination).and_then(|(export, engine)| {
             let positions = export.positions;
             engine.state.import(id, export).then_some(positions)
         });
@@ -107,16 +111,24 @@
             to,
             positions,
         };
-        self.tell(daemon, LINK * 4, event);
+        self.schedule_event(daemon, LINK_LATENCY * 4, event);
     }
 
-    pub(super) fn ask_report(&mut self, daemon: usize, target: TargetKey) {
+    pub(super) fn request_report(&mut self, daemon: usize, target: TargetKey) {
         let url = self.nodes[daemon].url(target);
-        let Some(engine) = self.engines.get(&url).filter(|engine| engine.answers()) else {
+        let Some(engine) = self
+            .engines
+            .get(&url)
+            .filter(|engine| engine.is_reachable())
+        else {
             return;
         };
         let report = engine.state.report().into();
-        self.tell(daemon, LINK * 2, Event::TargetReport { target, report });
+        self.schedule_event(
+            daemon,
+            LINK_LATENCY * 2,
+            Event::TargetReport { target, report },
+        );
     }
 
     pub(super) fn order(&mut self, daemon: usize, target: TargetKey, fence: u64, order: Order) {
@@ -125,7 +137,7 @@
             .push((daemon, url.clone(), fence, order.clone()));
         if let Some(engine) = self.engines.get_mut(&url) {
             let action = order.into();
-            // A refused fence is the engine's answer; the steward sees it in the next report.
+            // The engine ignores an outdated fence; the steward sees that in the next report.
             engine.state.order(OrderBody { fence, action }).ok();
             engine.dead |= engine.state.is_stopped();
         }
--- a/reachtally-standin/src/fabric/engine.rs
+++ b/reachtally-standin/src/fabric/engine.rs
@@ -1,4 +1,4 @@
-//! An engine on the virtual clock.
+//! A simulated engine on the virtual clock.
 
 use std::time::Duration;
 
@@ -9,25 +9,25 @@
 
 use crate::engine::{Options, State, positions};
 
-/// What becomes of the next answers.
+/// An injected fault that applies to one call of an engine or a service.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Behaviour {
-    /// The steps run, and the call fails.
+    /// The steps run, but the call fails.
     Lose,
-    /// The steps run, and nothing is ever answered.
+    /// The steps run, but no response is ever sent.
     Silent,
-    /// The results come twice in one answer.
+    /// The response contains the results twice.
     Double,
-    /// The answer comes so much later.
+    /// The response is delayed by this duration.
     Late(Duration),
-    /// The call is refused as not run.
+    /// The call is rejected as not run.
     Refuse,
 }
 
-/// An answer on its way to a daemon.
+/// A response to a daemon, sent after `delay`.
 pub(super) struct EngineAnswer {
     pub daemon: usize,
-    pub after: Duration,
+    pub delay: Duration,
     pub event: Event,
 }
 
@@ -38,14 +38,14 @@
     batch: Batch,
 }
 
-/// An engine that batches continuously.
+/// An engine with continuous batching.
 #[derive(Debug)]
 pub struct FakeEngine {
-    /// What it holds and ran.
+    /// KV, ledger and orders of the engine.
     pub state: State,
-    /// Whether it is gone: no connection comes about, and what runs is lost.
+    /// Whether the engine has crashed: connections fail, and running calls are lost.
     pub dead: bool,
-    /// Factor on every iteration's time.
+    /// Factor applied to the duration of every iteration.
     pub slow: f64,
     options: Options,
     behaviours: Vec<Behaviour>,
@@ -54,7 +54,7 @@
 }
 
 impl FakeEngine {
-    /// An engine that holds nothing yet.
+    /// Creates an engine without KV.
     pub fn new(options: Options) -> Self {
         FakeEngine {
             state: State::new(options),
@@ -67,29 +67,29 @@
         }
     }
 
-    /// Let its next answers, each in turn, be as given.
+    /// Applies one behaviour to each of the next calls, in order.
     pub fn behave(&mut self, behaviours: &[Behaviour]) {
         self.behaviours = behaviours.iter().rev().copied().collect();
     }
 
-    /// Come back after a death, with nothing held.
+    /// Restarts a crashed engine without KV.
     pub fn revive(&mut self) {
         *self = FakeEngine::new(self.options);
     }
 
-    pub(super) fn answers(&self) -> bool {
+    pub(super) fn is_reachable(&self) -> bool {
         !self.dead
     }
 
-    pub(super) fn take_refusal(&mut self) -> bool {
-        let refuses = self.behaviours.last() == Some(&Behaviour::Refuse);
-        if refuses {
+    pub(super) fn consume_refusal(&mut self) -> bool {
+        let is_refused = self.behaviours.last() == Some(&Behaviour::Refuse);
+        if is_refused {
             self.behaviours.pop();
         }
-        refuses
+        is_refused
     }
 
-    /// Take a call; yields the time of the iteration that this starts, if the engine was idle.
+    /// Queues a call. If the engine was idle, starts an iteration and returns its duration.
     pub(super) fn enqueue(
         &mut self,
         daemon: usize,
@@ -113,19 +113,19 @@
         time.mul_f64(self.slow)
     }
 
-    /// End an iteration; yields its answers and the time of the next one.
+    /// Ends an iteration. Returns its responses and, if calls wait, the next iteration's duration.
     pub(super) fn end_iteration(&mut self) -> (Vec<EngineAnswer>, Option<Duration>) {
         let mut answers = Vec::new();
         for job in std::mem::take(&mut self.running) {
             if self.dead {
-                answers.push(lost(&job, Duration::ZERO));
+                answers.push(lost_call(&job, Duration::ZERO));
                 continue;
             }
             let (daemon, call) = (job.daemon, job.call);
-            let behaviour = self.take_behaviour(&job.batch);
-            let failed = lost(&job, Duration::ZERO);
+            let behaviour = self.consume_behaviour(&job.batch);
+            let failed = lost_call(&job, Duration::ZERO);
             let mut results = self.state.run(job.batch);
-            let mut after = Duration::ZERO;
+            let mut delay = Duration::ZERO;
             match behaviour {
                 Some(Behaviour::Silent) => continue,
                 Some(Behaviour::Lose) => {
@@ -133,12 +133,12 @@
                     continue;
                 }
                 Some(Behaviour::Double) => results.extend(results.clone()),
-                Some(Behaviour::Late(time)) => after = time,
+                Some(Behaviour::Late(time)) => delay = time,
                 Some(Behaviour::Refuse) | None => {}
             }
             answers.push(EngineAnswer {
                 daemon,
-                after,
+                delay,
                 event: Event::StepsDone { call, results },
             });
         }
@@ -146,8 +146,8 @@
         (answers, next)
     }
 
-    /// The behaviour of an answer to steps; calls that only release keep theirs.
-    fn take_behaviour(&mut self, batch: &Batch) -> Option<Behaviour> {
+    /// Removes the behaviour for a call with steps; calls that only release KV consume none.
+    fn consume_behaviour(&mut self, batch: &Batch) -> Option<Behaviour> {
         if batch.steps.is_empty() {
             return None;
         }
@@ -155,11 +155,11 @@
     }
 }
 
-fn lost(job: &Job, after: Duration) -> EngineAnswer {
+fn lost_call(job: &Job, delay: Duration) -> EngineAnswer {
     let (call, failure) = (job.call, CallFailure::Lost);
     EngineAnswer {
         daemon: job.daemon,
-        after,
+        delay,
         event: Event::StepsFailed { call, failure },
     }
 }
--- a/reachtally-standin/src/fabric/log.rs
+++ b/reachtally-standin/src/fabric/log.rs
@@ -1,4 +1,4 @@
-//! The log on the virtual clock: claim records and configuration operations.
+//! The simulated log: claim records, configuration operations and failure domain records.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -9,7 +9,7 @@
 use reachtally_core::fold::{Config, Operation};
 use reachtally_core::lease::DomainRecord;
 
-/// How far a daemon has read.
+/// Read positions of a daemon in each stream.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub(super) struct Offsets {
     config: usize,
@@ -17,43 +17,43 @@
     domains: usize,
 }
 
-/// What a daemon has not read yet of each stream.
+/// Unread records of each stream: configuration, claims and failure domains.
 pub(super) type Unread = (
     Vec<Read<Operation>>,
     Vec<Read<ClaimRecord>>,
     Vec<Read<DomainRecord>>,
 );
 
-/// A log with a stream of operations and one of claims.
+/// A log with streams of operations, claims and failure domain records.
 #[derive(Debug, Default)]
 pub struct FakeLog {
-    /// It takes and shows nothing.
+    /// Whether the log is down: appends fail and reads return nothing.
     pub down: bool,
-    /// Daemons that don't reach it.
+    /// Daemons that are partitioned from the log.
     pub cut: BTreeSet<usize>,
-    /// So many appends take effect but their answer is lost.
+    /// Number of next appends that are applied but whose response is lost.
     pub lose_answers: u32,
-    /// So many appends have no effect, and their answer is lost.
+    /// Number of next appends that are neither applied nor confirmed.
     pub lose_appends: u32,
-    /// Delay of every append.
+    /// Delay added to every append.
     pub delay: Duration,
-    /// Claim records taken.
+    /// Appended claim records.
     pub claims: Vec<Read<ClaimRecord>>,
-    /// Snapshots of the configuration.
+    /// Configuration snapshots written by daemons.
     pub snapshots: Vec<Config>,
-    /// Records of the failure domains.
+    /// Appended failure domain records.
     pub domains: Vec<Read<DomainRecord>>,
     operations: Vec<Read<Operation>>,
     folded: Config,
 }
 
 impl FakeLog {
-    /// The configuration it holds.
+    /// Returns the configuration that results from the operations.
     pub fn folded(&self) -> &Config {
         &self.folded
     }
 
-    /// The boxes of the engines declared.
+    /// Returns the boxes of the declared engines.
     pub(super) fn engine_boxes(&self) -> impl Iterator<Item = String> {
         let engines = self.folded.of(Kind::Engine);
         engines.filter_map(|(_, entry)| match &entry.object {
@@ -66,7 +66,7 @@
         let offset = self.operations.len() as u64;
         self.folded
             .fold(offset, &operation)
-            .expect("offsets follow each other");
+            .expect("offsets are consecutive");
         self.operations.push(Read {
             offset,
             at_ms: 0,
@@ -74,7 +74,7 @@
         });
     }
 
-    /// Take a record; whether the daemon is told so.
+    /// Appends a claim record. Returns whether the daemon receives a confirmation.
     pub(super) fn append(&mut self, daemon: usize, at_ms: u64, record: ClaimRecord) -> bool {
         if self.down || self.cut.contains(&daemon) {
             return false;
@@ -89,9 +89,9 @@
             at_ms,
             record,
         });
-        let lost = self.lose_answers > 0;
+        let response_lost = self.lose_answers > 0;
         self.lose_answers = self.lose_answers.saturating_sub(1);
-        !lost
+        !response_lost
     }
 
     pub(super) fn append_domain(&mut self, daemon: usize, at_ms: u64, record: DomainRecord) {
--- a/reachtally-standin/src/fabric/mod.rs
+++ b/reachtally-standin/src/fabric/mod.rs
@@ -1,8 +1,8 @@
-//! Daemons' worlds, engines, services and a log in one thread on a virtual clock.
+//! A deterministic simulation of daemons, engines, services and a log on a virtual clock.
 //!
-//! A small fake at the core's interfaces, for tests of failures and for experiments: the decisions
-//! are the shipped core, unchanged, and nothing depends on sockets, threads or real time. Events at
-//! the same instant happen in the order they were scheduled, so a run is a function of its input.
+//! It fakes the core's interfaces for failure tests and experiments. All decisions are made by the
+//! shipped core, and nothing depends on sockets, threads or real time. Events at the same instant
+//! are handled in the order in which they were scheduled, so a run depends on its input only.
 
 mod domains;
 mod engine;
@@ -25,19 +25,19 @@
 use reachtally_core::systems::steward::Order;
 use reachtally_core::{Effect, Event, Incarnation, Instant, Limits};
 
-use self::queue::{Happening, Queue};
+use self::queue::{Queue, ScheduledEvent};
 
 pub use self::engine::{Behaviour, FakeEngine};
 pub use self::log::FakeLog;
-pub use self::node::{Answered, End, Node};
+pub use self::node::{CallerResponse, End, Node};
 pub use self::service::FakeService;
 
-/// Time that a message takes on any link, one way.
-const LINK: Duration = Duration::from_micros(500);
-/// Seed of the first daemon's random choices; the next ones count up.
+/// One-way latency of every link.
+const LINK_LATENCY: Duration = Duration::from_micros(500);
+/// Random seed of the first daemon; each further daemon uses the next number.
 const SEED: u64 = 1;
 
-/// Daemons and what is around them.
+/// A simulated fleet of daemons with their engines, services and log.
 #[derive(Debug)]
 pub struct Fabric {
     /// The virtual clock.
@@ -48,18 +48,18 @@
     pub engines: BTreeMap<String, FakeEngine>,
     /// The service instances by base address.
     pub services: BTreeMap<String, FakeService>,
-    /// The log.
+    /// The simulated log.
     pub log: FakeLog,
-    /// Daemons that no other daemon reaches.
+    /// Daemons that are partitioned from all other daemons.
     pub cut_peers: BTreeSet<usize>,
-    /// Orders given: by which daemon, to which engine, with which fence.
+    /// Orders sent so far: the daemon, the URL of the engine, the fencing token and the order.
     pub orders: Vec<(usize, String, u64, Order)>,
     domains: Vec<String>,
     queue: Queue,
 }
 
 impl Fabric {
-    /// A fabric with so many daemons and nothing declared.
+    /// Creates a fabric of `daemons` daemons without declarations.
     pub fn new(daemons: usize, limits: &Limits) -> Self {
         let node = |index| Node::new(Incarnation(index as u64 + 1), SEED + index as u64, limits);
         let mut fabric = Fabric {
@@ -79,13 +79,13 @@
         fabric
     }
 
-    /// Publish objects; every daemon that is not cut off folds them at once.
+    /// Publishes objects. Every daemon that reaches the log applies them immediately.
     pub fn declare(&mut self, objects: Vec<Object>) {
         let edits = self.log.folded().edits(objects);
         self.publish(edits);
     }
 
-    /// Publish edits as one operation.
+    /// Publishes edits as one operation.
     pub fn publish(&mut self, edits: Vec<Edit>) {
         let operation = Operation {
             id: format!("operation-{}", self.log.folded().next()),
@@ -93,11 +93,11 @@
             edits,
         };
         self.log.publish(operation);
-        self.spread();
+        self.schedule_log_reads();
         self.run_until(self.now);
     }
 
-    /// Drain a target, or undo it.
+    /// Sets or clears the drain flag of a target.
     pub fn drain(&mut self, kind: Kind, name: &str, drained: bool) {
         let base = self.log.folded().revision(kind, name);
         self.publish(vec![Edit {
@@ -108,105 +108,106 @@
         }]);
     }
 
-    /// The configuration that the log holds.
+    /// Returns the configuration that results from the log.
     pub fn config(&self) -> &Config {
         self.log.folded()
     }
 
-    /// Show this live list to every daemon.
+    /// Delivers a live list of box names and leaving flags to every daemon.
     pub fn show_list(&mut self, boxes: &[(&str, bool)]) {
-        let seen = boxes.iter().map(|(name, leaving)| BoxStatus {
+        let statuses = boxes.iter().map(|(name, leaving)| BoxStatus {
             name: (*name).to_owned(),
             leaving: *leaving,
             peer: None,
         });
-        let seen: Vec<BoxStatus> = seen.collect();
+        let statuses: Vec<BoxStatus> = statuses.collect();
         for daemon in 0..self.nodes.len() {
-            self.handle(daemon, Event::LiveListRead(seen.clone()));
+            self.handle(daemon, Event::LiveListRead(statuses.clone()));
         }
     }
 
-    /// A caller asks a daemon.
-    pub fn ask(&mut self, daemon: usize, ask: NewRequest) -> RequestKey {
-        let key = self.nodes[daemon].ask(ask, self.now);
-        self.settle(daemon);
+    /// Submits a request to a daemon.
+    pub fn ask(&mut self, daemon: usize, request: NewRequest) -> RequestKey {
+        let key = self.nodes[daemon].ask(request, self.now);
+        self.run_effects(daemon);
         key
     }
 
-    /// Tell a daemon of something that happened.
+    /// Passes an event to a daemon and applies the resulting effects.
     pub fn handle(&mut self, daemon: usize, event: Event) {
         self.nodes[daemon].handle(event, self.now);
-        self.settle(daemon);
+        self.run_effects(daemon);
     }
 
-    /// Replace a daemon by a new run of it that has read the log anew.
+    /// Replaces a daemon by a new incarnation that reads the log from the start.
     pub fn restart(&mut self, daemon: usize, incarnation: u64, limits: &Limits) {
         self.nodes[daemon] = Node::new(Incarnation(incarnation), incarnation, limits);
         self.queue.forget(daemon);
-        self.spread();
+        self.schedule_log_reads();
         self.handle(daemon, Event::ClaimsCaughtUp);
         self.run_until(self.now);
     }
 
-    /// Let a daemon do nothing until `until`; what it is told meanwhile reaches it then.
+    /// Suspends a daemon until `until`; events that arrive meanwhile are delivered then.
     pub fn pause(&mut self, daemon: usize, until: Instant) {
         self.nodes[daemon].paused_until = until;
     }
 
-    /// Run until the clock shows `until`.
+    /// Runs the simulation until `until`.
     pub fn run_until(&mut self, until: Instant) {
-        while let Some(at) = self.next_at().filter(|at| *at <= until) {
+        while let Some(at) = self.next_event_at().filter(|at| *at <= until) {
             self.now = self.now.max(at);
             self.step();
         }
         self.now = self.now.max(until);
     }
 
-    /// Run for a time.
+    /// Runs the simulation for `time`.
     pub fn run_for(&mut self, time: Duration) {
         self.run_until(self.now + time);
     }
 
-    fn next_at(&self) -> Option<Instant> {
-        let due = self.nodes.iter().filter_map(Node::next_due).min();
-        match (self.queue.next_at(), due) {
+    fn next_event_at(&self) -> Option<Instant> {
+        let next_due = self.nodes.iter().filter_map(Node::next_due).min();
+        match (self.queue.next_at(), next_due) {
             (Some(a), Some(b)) => Some(a.min(b)),
             (a, b) => a.or(b),
         }
     }
 
     fn step(&mut self) {
-        if let Some(happening) = self.queue.pop(self.now) {
-            return self.happen(happening);
+        if let Some(scheduled) = self.queue.pop(self.now) {
+            return self.handle_scheduled(scheduled);
         }
         for daemon in 0..self.nodes.len() {
             if self.nodes[daemon]
                 .next_due()
                 .is_some_and(|at| at <= self.now)
             {
-                self.settle(daemon);
+                self.run_effects(daemon);
             }
         }
     }
 
-    fn happen(&mut self, happening: Happening) {
-        match happening {
-            Happening::Told { daemon, event } => {
+    fn handle_scheduled(&mut self, scheduled: ScheduledEvent) {
+        match scheduled {
+            ScheduledEvent::Deliver { daemon, event } => {
                 let until = self.nodes[daemon].paused_until;
                 if until > self.now {
-                    self.queue.push(until, Happening::Told { daemon, event });
+                    self.queue
+                        .push(until, ScheduledEvent::Deliver { daemon, event });
                 } else {
                     self.handle(daemon, event);
                 }
             }
-            Happening::BatchArrives {
+            ScheduledEvent::BatchArrives {
                 daemon,
                 call,
                 url,
                 batch,
             } => self.batch_arrives(daemon, call, &url, batch),
-            Happening::IterationEnds { url } => self.iteration_ends(&url),
-            Happening::CallArrives {
+            ScheduledEvent::IterationEnds { url } => self.iteration_ends(&url),
+            ScheduledEvent::CallArrives {
                 daemon,
                 request,
                 target,
@@ -214,26 +215,26 @@
                 key,
                 call,
             } => self.call_arrives(daemon, request, target, &url, key, call),
-            Happening::Spread => self.spread(),
+            ScheduledEvent::LogRead => self.schedule_log_reads(),
         }
     }
 
-    /// Let a daemon tick and carry its effects out.
-    fn settle(&mut self, daemon: usize) {
+    /// Ticks a daemon and applies the effects, unless it is suspended.
+    fn run_effects(&mut self, daemon: usize) {
         if self.nodes[daemon].paused_until > self.now {
             return;
         }
         for effect in self.nodes[daemon].tick(self.now) {
-            self.carry_out(daemon, effect);
+            self.apply_effect(daemon, effect);
         }
     }
 
-    fn tell(&mut self, daemon: usize, after: Duration, event: Event) {
+    fn schedule_event(&mut self, daemon: usize, delay: Duration, event: Event) {
         self.queue
-            .push(self.now + after, Happening::Told { daemon, event });
+            .push(self.now + delay, ScheduledEvent::Deliver { daemon, event });
     }
 
-    fn carry_out(&mut self, daemon: usize, effect: Effect) {
+    fn apply_effect(&mut self, daemon: usize, effect: Effect) {
         match effect {
             Effect::Steps {
                 call,
@@ -241,13 +242,13 @@
                 batch,
             } => {
                 let url = self.nodes[daemon].url(target);
-                let arrives = Happening::BatchArrives {
+                let arrives = ScheduledEvent::BatchArrives {
                     daemon,
                     call,
                     url,
                     batch,
                 };
-                self.queue.push(self.now + LINK, arrives);
+                self.queue.push(self.now + LINK_LATENCY, arrives);
             }
             Effect::Call {
                 request,
@@ -256,7 +257,7 @@
                 key,
             } => {
                 let url = self.nodes[daemon].url(target);
-                let arrives = Happening::CallArrives {
+                let arrives = ScheduledEvent::CallArrives {
                     daemon,
                     request,
                     target,
@@ -264,7 +265,7 @@
                     key,
                     call,
                 };
-                self.queue.push(self.now + LINK, arrives);
+                self.queue.push(self.now + LINK_LATENCY, arrives);
             }
             Effect::MoveKv {
                 request,
@@ -274,36 +275,42 @@
             } => self.move_kv(daemon, request, id, (from, to)),
             Effect::Probe { target } => {
                 let url = self.nodes[daemon].url(target);
-                let engine = self.engines.get(&url).is_some_and(FakeEngine::answers);
-                let service = self.services.get(&url).is_some_and(|service| service.up);
-                let up = engine || service;
-                self.tell(daemon, LINK * 2, Event::Probed { target, up });
+                let engine_up = self.engines.get(&url).is_some_and(FakeEngine::is_reachable);
+                let service_up = self.services.get(&url).is_some_and(|service| service.up);
+                let up = engine_up || service_up;
+                self.schedule_event(daemon, LINK_LATENCY * 2, Event::Probed { target, up });
             }
             Effect::Append { seq, record } => {
                 let at_ms = self.now.elapsed().as_millis() as u64;
                 let confirmed = self.log.append(daemon, at_ms, record);
                 let delay = self.log.delay;
-                self.tell(daemon, LINK * 2 + delay, Event::Appended { seq, confirmed });
-                self.queue.push(self.now + LINK + delay, Happening::Spread);
+                self.schedule_event(
+                    daemon,
+                    LINK_LATENCY * 2 + delay,
+                    Event::Appended { seq, confirmed },
+                );
+                self.queue
+                    .push(self.now + LINK_LATENCY + delay, ScheduledEvent::LogRead);
             }
             Effect::Gossip { to, members } => {
-                self.tell_peer(daemon, &to, Event::Digest(members));
+                self.send_to_peer(daemon, &to, Event::Digest(members));
             }
             Effect::PushConfig { to, records } => {
                 let event = Event::PeerConfig(PeerConfig::Records(records));
-                self.tell_peer(daemon, &to, event);
+                self.send_to_peer(daemon, &to, event);
             }
-            Effect::PullConfig { from, next } => self.pull(daemon, &from, next),
+            Effect::PullConfig { from, next } => self.pull_config(daemon, &from, next),
             Effect::Revalidate { nonce, peers, .. } => self.revalidate(daemon, nonce, &peers),
             Effect::AppendDomain(record) => {
                 let at_ms = self.now.elapsed().as_millis() as u64;
                 self.log.append_domain(daemon, at_ms, record);
                 let delay = self.log.delay;
-                self.tell(daemon, LINK * 2 + delay, Event::DomainAppended);
-                self.queue.push(self.now + LINK + delay, Happening::Spread);
+                self.schedule_event(daemon, LINK_LATENCY * 2 + delay, Event::DomainAppended);
+                self.queue
+                    .push(self.now + LINK_LATENCY + delay, ScheduledEvent::LogRead);
             }
             Effect::WriteSnapshot(config) => self.log.snapshots.push(*config),
-            Effect::RequestReport { target } => self.ask_report(daemon, target),
+            Effect::RequestReport { target } => self.request_report(daemon, target),
             Effect::Order {
                 target,
                 fence,
@@ -313,8 +320,8 @@
         }
     }
 
-    /// Every daemon that reaches the log reads what it has not read yet.
-    fn spread(&mut self) {
+    /// Schedules the delivery of unread records to every daemon that reaches the log.
+    fn schedule_log_reads(&mut self) {
         for daemon in 0..self.nodes.len() {
             if self.log.cut.contains(&daemon) || self.log.down {
                 continue;
@@ -322,37 +329,37 @@
             let unread = self.log.unread(&mut self.nodes[daemon].read);
             let (config, claims, domains) = unread;
             if !domains.is_empty() {
-                self.tell(daemon, Duration::ZERO, Event::DomainsRead(domains));
+                self.schedule_event(daemon, Duration::ZERO, Event::DomainsRead(domains));
             }
             if !config.is_empty() {
-                self.tell(daemon, Duration::ZERO, Event::ConfigRead(config));
+                self.schedule_event(daemon, Duration::ZERO, Event::ConfigRead(config));
             }
             if !claims.is_empty() {
-                self.tell(daemon, Duration::ZERO, Event::ClaimsRead(claims));
+                self.schedule_event(daemon, Duration::ZERO, Event::ClaimsRead(claims));
             }
         }
     }
 
-    /// The log answers again, or a daemon reaches it again.
+    /// Ends outages of the log and partitions from it, and delivers unread records.
     pub fn heal_log(&mut self) {
         self.log.down = false;
         self.log.cut.clear();
-        self.spread();
+        self.schedule_log_reads();
     }
 
     fn batch_arrives(&mut self, daemon: usize, call: CallKey, url: &str, batch: Batch) {
         let Some(engine) = self.engines.get_mut(url).filter(|engine| !engine.dead) else {
             let failure = CallFailure::NeverStarted(NeverStarted::ConnectFailed);
-            return self.tell(daemon, LINK, Event::StepsFailed { call, failure });
+            return self.schedule_event(daemon, LINK_LATENCY, Event::StepsFailed { call, failure });
         };
-        if engine.take_refusal() {
+        if engine.consume_refusal() {
             let failure = CallFailure::NeverStarted(NeverStarted::TargetSaidSo);
-            return self.tell(daemon, LINK, Event::StepsFailed { call, failure });
+            return self.schedule_event(daemon, LINK_LATENCY, Event::StepsFailed { call, failure });
         }
         if let Some(ends_after) = engine.enqueue(daemon, call, batch) {
             let url = url.to_owned();
-            let ends = Happening::IterationEnds { url };
-            self.queue.push(self.now + ends_after, ends);
+            let iteration_end = ScheduledEvent::IterationEnds { url };
+            self.queue.push(self.now + ends_after, iteration_end);
         }
     }
 
@@ -363,11 +370,11 @@
         let (answers, next) = engine.end_iteration();
         if let Some(ends_after) = next {
             let url = url.to_owned();
-            let ends = Happening::IterationEnds { url };
-            self.queue.push(self.now + ends_after, ends);
+            let iteration_end = ScheduledEvent::IterationEnds { url };
+            self.queue.push(self.now + ends_after, iteration_end);
         }
         for answer in answers {
-            self.tell(answer.daemon, LINK + answer.after, answer.event);
+            self.schedule_event(answer.daemon, LINK_LATENCY + answer.delay, answer.event);
         }
     }
 
@@ -383,14 +390,14 @@
         let Some(service) = self.services.get_mut(url) else {
             return;
         };
-        let (after, result) = service.call(key.as_deref(), &call);
+        let (delay, result) = service.call(key.as_deref(), &call);
         let event = Event::ServiceCallDone {
             request,
             target,
             result,
         };
-        if let Some(after) = after {
-            self.tell(daemon, LINK + after, event);
+        if let Some(delay) = delay {
+            self.schedule_event(daemon, LINK_LATENCY + delay, event);
         }
     }
 }
--- a/reachtally-standin/src/fabric/node.rs
+++ b/reachtally-standin/src/fabric/node.rs
@@ -1,4 +1,4 @@
-//! A daemon's world, with what its callers received.
+//! A simulated daemon: its world and the responses that its callers received.
 
 use std::collections::BTreeMap;
 
@@ -11,60 +11,60 @@
 
 use super::log::Offsets;
 
-/// How a request ended, as its caller sees it.
+/// The outcome of a request, as its caller sees it.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum End {
-    /// All tokens came.
+    /// The completion finished and all its tokens were delivered.
     Completed {
-        /// Positions of the prompt.
+        /// Number of prompt positions.
         prompt_tokens: u32,
-        /// What was accepted from which engine.
+        /// The results accepted from each engine.
         lineage: Lineage,
     },
-    /// The service's answer came.
+    /// The service responded with this body.
     Answered(String),
-    /// A recorded outcome came.
+    /// The recorded response to an earlier request with the same key.
     Recorded(String),
-    /// It did not run.
+    /// The request did not run.
     NotRun(Refusal),
-    /// It may have run.
+    /// The request may have run.
     Unknown(Unknown),
-    /// The caller hung up.
+    /// The caller disconnected.
     Abandoned,
 }
 
-/// What one caller received.
+/// The response that one caller received.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub struct Answered {
-    /// The tokens' texts in order.
+pub struct CallerResponse {
+    /// Texts of the tokens, in order.
     pub tokens: Vec<String>,
-    /// When each token came.
+    /// Delivery time of each token.
     pub times: Vec<Instant>,
-    /// The end, once it came.
+    /// The outcome, once the request has ended.
     pub end: Option<End>,
-    /// When the end came.
+    /// When the request ended.
     pub ended_at: Option<Instant>,
 }
 
-impl Answered {
-    /// The text so far.
+impl CallerResponse {
+    /// Returns the concatenated text of the tokens received so far.
     pub fn text(&self) -> String {
         self.tokens.concat()
     }
 }
 
-/// One daemon.
+/// A simulated daemon.
 #[derive(Debug)]
 pub struct Node {
-    /// Its world.
+    /// The daemon's core state.
     pub world: World,
-    /// What its callers received.
-    pub answered: BTreeMap<RequestKey, Answered>,
-    /// Its changes of state, with the time of each.
+    /// Responses received by callers.
+    pub answered: BTreeMap<RequestKey, CallerResponse>,
+    /// State changes, with the time of each.
     pub changes: Vec<(Instant, Change)>,
-    /// Whether its callers take every token at once; else tests report what was taken.
+    /// Whether tokens are consumed on delivery; otherwise tests send `Event::Consumed` themselves.
     pub callers_take: bool,
-    /// It does nothing before this.
+    /// End of the current suspension.
     pub paused_until: Instant,
     pub(super) read: Offsets,
     effects: Effects,
@@ -83,9 +83,9 @@
         }
     }
 
-    pub(super) fn ask(&mut self, ask: NewRequest, now: Instant) -> RequestKey {
-        let key = self.world.ask(ask, now, &mut self.effects);
-        self.answered.insert(key, Answered::default());
+    pub(super) fn ask(&mut self, request: NewRequest, now: Instant) -> RequestKey {
+        let key = self.world.ask(request, now, &mut self.effects);
+        self.answered.insert(key, CallerResponse::default());
         key
     }
 
@@ -93,18 +93,18 @@
         self.world.handle(event, now, &mut self.effects);
     }
 
-    /// When it has something to do by itself.
+    /// Returns when the daemon must be ticked next, not before the end of its suspension.
     pub(super) fn next_due(&self) -> Option<Instant> {
         self.world.next_due().map(|at| at.max(self.paused_until))
     }
 
-    /// Run what is due; yields the effects for others.
+    /// Ticks the world and returns the effects that concern other components.
     pub(super) fn tick(&mut self, now: Instant) -> Vec<Effect> {
         self.world.tick(now, &mut self.effects);
         let effects: Vec<Effect> = self.effects.drain().collect();
         effects
             .into_iter()
-            .filter_map(|effect| self.receive(effect, now))
+            .filter_map(|effect| self.apply_local_effect(effect, now))
             .collect()
     }
 
@@ -113,8 +113,8 @@
         row.map_or_else(String::new, |row| row.url.clone())
     }
 
-    /// Keep what is for the callers and the log; the rest is for others.
-    fn receive(&mut self, effect: Effect, now: Instant) -> Option<Effect> {
+    /// Applies effects for callers and state changes; returns any other effect.
+    fn apply_local_effect(&mut self, effect: Effect, now: Instant) -> Option<Effect> {
         match effect {
             Effect::Deliver {
                 request,
@@ -122,10 +122,10 @@
                 text,
             } => self.deliver(request, index, text, now),
             Effect::Finish { request, finish } => {
-                let answered = self.answered.entry(request).or_default();
-                assert!(answered.end.is_none(), "a request ended twice");
-                answered.end = Some(end(finish));
-                answered.ended_at = Some(now);
+                let response = self.answered.entry(request).or_default();
+                assert!(response.end.is_none(), "a request ended twice");
+                response.end = Some(caller_outcome(finish));
+                response.ended_at = Some(now);
             }
             Effect::Changed(change) => self.changes.push((now, change)),
             other => return Some(other),
@@ -134,15 +134,18 @@
     }
 
     fn deliver(&mut self, request: RequestKey, index: u32, text: String, now: Instant) {
-        let answered = self.answered.entry(request).or_default();
-        assert!(answered.end.is_none(), "a token came after the end");
+        let response = self.answered.entry(request).or_default();
+        assert!(
+            response.end.is_none(),
+            "received a token after the request had ended"
+        );
         assert_eq!(
             index as usize,
-            answered.tokens.len(),
-            "a token is missing or came twice"
+            response.tokens.len(),
+            "token index out of sequence: a token is missing or duplicated"
         );
-        answered.tokens.push(text);
-        answered.times.push(now);
+        response.tokens.push(text);
+        response.times.push(now);
         if self.callers_take {
             let event = Event::Consumed { request, tokens: 1 };
             self.world.handle(event, now, &mut self.effects);
@@ -150,7 +153,7 @@
     }
 }
 
-fn end(finish: Finish) -> End {
+fn caller_outcome(finish: Finish) -> End {
     let text = |body: &[u8]| String::from_utf8_lossy(body).into_owned();
     match finish {
         Finish::Completed(Completed::Completion(end)) => End::Completed {
--- a/reachtally-standin/src/fabric/queue.rs
+++ b/reachtally-standin/src/fabric/queue.rs
@@ -1,4 +1,4 @@
-//! What is going to happen, by time and then by order of scheduling.
+//! The event queue of the simulation, ordered by time and then by scheduling order.
 
 use std::collections::BTreeMap;
 
@@ -7,21 +7,21 @@
 use reachtally_core::step::Batch;
 use reachtally_core::{Event, Instant};
 
-/// One thing that is going to happen.
+/// An event that is scheduled for a point in time.
 #[derive(Debug)]
-pub(super) enum Happening {
-    /// A daemon is told of an event.
-    Told { daemon: usize, event: Event },
-    /// A call reaches an engine.
+pub(super) enum ScheduledEvent {
+    /// An event is delivered to a daemon.
+    Deliver { daemon: usize, event: Event },
+    /// A batch of steps arrives at an engine.
     BatchArrives {
         daemon: usize,
         call: CallKey,
         url: String,
         batch: Batch,
     },
-    /// An engine's iteration ends.
+    /// An iteration of an engine ends.
     IterationEnds { url: String },
-    /// A call reaches a service instance.
+    /// A call arrives at a service instance.
     CallArrives {
         daemon: usize,
         request: RequestKey,
@@ -31,36 +31,36 @@
         call: ServiceCall,
     },
     /// The daemons read the log.
-    Spread,
+    LogRead,
 }
 
-/// Happenings in order.
+/// Scheduled events in the order in which they are handled.
 #[derive(Debug, Default)]
 pub(super) struct Queue {
-    by_time: BTreeMap<(Instant, u64), Happening>,
+    by_time: BTreeMap<(Instant, u64), ScheduledEvent>,
     seq: u64,
 }
 
 impl Queue {
-    pub fn push(&mut self, at: Instant, happening: Happening) {
+    pub fn push(&mut self, at: Instant, scheduled: ScheduledEvent) {
         self.seq += 1;
-        self.by_time.insert((at, self.seq), happening);
+        self.by_time.insert((at, self.seq), scheduled);
     }
 
     pub fn next_at(&self) -> Option<Instant> {
         self.by_time.keys().next().map(|(at, _)| *at)
     }
 
-    /// The next happening that is due.
-    pub fn pop(&mut self, now: Instant) -> Option<Happening> {
+    /// Removes and returns the next event that is due.
+    pub fn pop(&mut self, now: Instant) -> Option<ScheduledEvent> {
         let entry = self.by_time.first_entry()?;
         (entry.key().0 <= now).then(|| entry.remove())
     }
 
-    /// A daemon's run ended; it is told nothing any more.
+    /// Removes the events addressed to a daemon whose incarnation has ended.
     pub fn forget(&mut self, daemon: usize) {
         self.by_time.retain(
-            |_, what| !matches!(what, Happening::Told { daemon: told, .. } if *told == daemon),
+            |_, next| !matches!(next, ScheduledEvent::Deliver { daemon: to, .. } if *to == daemon),
         );
     }
 }
--- a/reachtally-standin/src/fabric/service.rs
+++ b/reachtally-standin/src/fabric/service.rs
@@ -1,4 +1,4 @@
-//! A service instance on the virtual clock.
+//! A simulated service instance on the virtual clock.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -9,14 +9,14 @@
 
 use super::engine::Behaviour;
 
-/// A service instance that counts what it ran.
+/// A service instance that counts its calls.
 #[derive(Debug)]
 pub struct FakeService {
-    /// Whether a connection comes about.
+    /// Whether connections succeed.
     pub up: bool,
-    /// How often each key ran; calls without one under the empty key.
+    /// Calls run per idempotency key; calls without a key count under the empty key.
     pub runs: BTreeMap<String, u32>,
-    /// Time of one call.
+    /// Duration of one call.
     pub time: Duration,
     behaviours: Vec<Behaviour>,
 }
@@ -33,12 +33,12 @@
 }
 
 impl FakeService {
-    /// Let its next answers, each in turn, be as given.
+    /// Applies one behaviour to each of the next calls, in order.
     pub fn behave(&mut self, behaviours: &[Behaviour]) {
         self.behaviours = behaviours.iter().rev().copied().collect();
     }
 
-    /// Take a call; yields the time until its answer, if one ever comes, and the answer.
+    /// Runs a call. Returns the response and its delay, which is `None` if it is never sent.
     pub(super) fn call(
         &mut self,
         key: Option<&str>,
--- a/reachtally-standin/src/lib.rs
+++ b/reachtally-standin/src/lib.rs
@@ -1,8 +1,8 @@
-//! Small stand-ins of what surrounds the router: the log, the live list, engines, plain services.
+//! Test doubles of the router's dependencies: the log, the live list, engines and plain services.
 //!
-//! They run as plain processes or embedded in another program, each on a port of its own. The
-//! engine computes a function whose result depends on every layer having run once, in order, on the
-//! right KV, so a wrong path through the layers shows in the answer itself; its ledger tells what
+//! Each runs as a separate process or embedded in another program, on its own port. The engine
+//! computes a function whose result depends on every layer having run exactly once, in order, on
+//! the right KV, so a wrong path through the layers changes the response. Its ledger records what
 //! ran.
 #![forbid(unsafe_code)]
 #![deny(missing_docs)]
--- a/reachtally-standin/src/list.rs
+++ b/reachtally-standin/src/list.rs
@@ -1,4 +1,4 @@
-//! The live list.
+//! The live list as an HTTP server.
 
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex, MutexGuard};
@@ -16,45 +16,45 @@
         .unwrap_or_else(|poisoned| poisoned.into_inner())
 }
 
-/// A running live list.
+/// A running live list server.
 pub struct List {
     listener: Listener,
     boxes: Boxes,
 }
 
 impl List {
-    /// Its base address.
+    /// Returns the base URL.
     pub fn url(&self) -> String {
         self.listener.url()
     }
 
-    /// Show a box, as leaving or not.
+    /// Adds or replaces a box, with its leaving flag.
     pub fn set(&self, name: &str, leaving: bool) {
         let listed = ListedBox {
             leaving,
-            ..plain(name)
+            ..listed_box(name)
         };
         lock(&self.boxes).insert(name.to_owned(), listed);
     }
 
-    /// Show a box no longer.
+    /// Removes a box.
     pub fn remove(&self, name: &str) {
         lock(&self.boxes).remove(name);
     }
 
-    /// Close it.
+    /// Stops the server.
     pub async fn stop(self) {
         self.listener.stop().await;
     }
 
-    /// Wait until it stops.
+    /// Waits until the server stops.
     pub async fn stopped(self) {
         self.listener.stopped().await;
     }
 }
 
-/// A box that is not leaving and no entry box.
-fn plain(name: &str) -> ListedBox {
+/// Returns a box that is neither leaving nor an entry box.
+fn listed_box(name: &str) -> ListedBox {
     ListedBox {
         name: name.to_owned(),
         leaving: false,
@@ -62,17 +62,17 @@
     }
 }
 
-/// Start a live list that shows `boxes` as not leaving.
+/// Starts a live list with the boxes `names`, none of them leaving.
 ///
 /// # Errors
-/// If the address can't be bound.
+/// Returns an error if the address can't be bound.
 pub async fn start(
     listen: reachtally_listen::Options,
     names: impl IntoIterator<Item = String>,
 ) -> Result<List, Error> {
     let boxes: BTreeMap<String, ListedBox> = names
         .into_iter()
-        .map(|name| (name.clone(), plain(&name)))
+        .map(|name| (name.clone(), listed_box(&name)))
         .collect();
     let boxes: Boxes = Arc::new(Mutex::new(boxes));
     let managed = boxes.clone();
--- a/reachtally-standin/src/log_server.rs
+++ b/reachtally-standin/src/log_server.rs
@@ -1,4 +1,4 @@
-//! The append-only log as an HTTP server over [`MemoryLog`].
+//! An HTTP server for the append-only log, backed by [`MemoryLog`].
 
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::Duration;
@@ -13,38 +13,38 @@
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
 
-/// A running log.
+/// A running log server.
 pub struct LogServer {
     listener: Listener,
     log: MemoryLog,
 }
 
 impl LogServer {
-    /// Its base address.
+    /// Returns the base URL.
     pub fn url(&self) -> String {
         self.listener.url()
     }
 
-    /// The log behind it.
+    /// Returns the log that backs the server.
     pub fn log(&self) -> &MemoryLog {
         &self.log
     }
 
-    /// Close it.
+    /// Stops the server.
     pub async fn stop(self) {
         self.listener.stop().await;
     }
 
-    /// Wait until it stops.
+    /// Waits until the server stops.
     pub async fn stopped(self) {
         self.listener.stopped().await;
     }
 }
 
-/// Start a log.
+/// Starts a server for a new log.
 ///
 /// # Errors
-/// If the address can't be bound.
+/// Returns an error if the address can't be bound.
 pub async fn start(
     listen: reachtally_listen::Options,
     options: Options,
@@ -52,10 +52,10 @@
     entrance(listen, MemoryLog::new(options)).await
 }
 
-/// Start another server before the same log, which can be cut off apart from the others.
+/// Starts another server for the same log, which can be partitioned from it independently.
 ///
 /// # Errors
-/// If the address can't be bound.
+/// Returns an error if the address can't be bound.
 pub async fn entrance(
     listen: reachtally_listen::Options,
     log: MemoryLog,
@@ -71,7 +71,7 @@
     Ok(LogServer { listener, log })
 }
 
-/// Whether this entrance is cut off from the log.
+/// Whether this server is partitioned from the log.
 #[derive(Debug, Default)]
 struct Cut(AtomicBool);
 
@@ -112,16 +112,16 @@
     page.map(Json).map_err(|_| Status::ServiceUnavailable)
 }
 
-/// Faults as the control route takes them.
+/// Request body of `POST /faults`.
 #[derive(Debug, Clone, Copy, Serialize, Deserialize)]
 pub struct FaultsBody {
-    /// Neither appends nor reads are answered.
+    /// Whether appends and reads fail.
     #[serde(default)]
     pub down: bool,
-    /// Answers to lose after the append took effect.
+    /// Number of next appends that are applied but whose response is lost.
     #[serde(default)]
     pub lose_answers: u32,
-    /// Delay of each answer in milliseconds.
+    /// Delay before each append or read is processed, in milliseconds.
     #[serde(default)]
     pub delay_ms: u64,
 }
--- a/reachtally-standin/src/main.rs
+++ b/reachtally-standin/src/main.rs
@@ -1,4 +1,4 @@
-//! `reachtally-standin`: one stand-in as a plain process.
+//! `reachtally-standin`: runs one stand-in as a separate process.
 
 use std::time::Duration;
 
@@ -8,40 +8,40 @@
 use reachtally_standin::engine::{self, Fault, StepTime};
 use reachtally_standin::{list, log_server, service};
 
-/// A stand-in of what surrounds the router, for tests on loopback.
+/// Runs a test double of one of the router's dependencies on loopback.
 #[derive(Debug, Clone, Bpaf)]
 #[bpaf(options, version)]
 enum Command {
     /// The append-only log.
     #[bpaf(command)]
     Log {
-        /// Port on loopback, 0 for any free one
+        /// Loopback port; 0 selects a free port
         #[bpaf(argument("PORT"), fallback(0))]
         port: u16,
-        /// Appends taken a second
+        /// Maximum appends per second
         #[bpaf(argument("N"), fallback(300))]
         appends_per_s: u32,
-        /// Records kept in each stream
+        /// Maximum number of records kept in each stream
         #[bpaf(argument("N"), fallback(100_000))]
         keep_records: usize,
-        /// Ports of more entrances, each of which can be cut off
+        /// Port of an additional server for the same log, which can be partitioned from it
         #[bpaf(argument("PORT"), many)]
         entrance: Vec<u16>,
     },
     /// The live list.
     #[bpaf(command)]
     List {
-        /// Port on loopback, 0 for any free one
+        /// Loopback port; 0 selects a free port
         #[bpaf(argument("PORT"), fallback(0))]
         port: u16,
-        /// Boxes shown at the start
+        /// Boxes listed at the start
         #[bpaf(positional("BOX"), many)]
         boxes: Vec<String>,
     },
-    /// A model engine with a layer range.
+    /// An engine that holds a layer range of a model.
     #[bpaf(command)]
     Engine {
-        /// Port on loopback, 0 for any free one
+        /// Loopback port; 0 selects a free port
         #[bpaf(argument("PORT"), fallback(0))]
         port: u16,
         /// First layer held
@@ -50,30 +50,30 @@
         /// One past the last layer held
         #[bpaf(argument("LAYER"))]
         end: u32,
-        /// Layers of the whole model
+        /// Number of layers of the whole model
         #[bpaf(argument("N"))]
         model_layers: u32,
-        /// Requests whose KV fits
+        /// Number of requests whose KV fits
         #[bpaf(argument("N"), fallback(4096))]
         slots: u32,
-        /// Bytes of one activation
+        /// Size of one activation in bytes
         #[bpaf(argument("BYTES"), fallback(64))]
         activation_bytes: usize,
-        /// Microseconds of an iteration however small
+        /// Fixed duration of an iteration in microseconds
         #[bpaf(argument("US"), fallback(0))]
         base_us: u64,
-        /// Microseconds for each layer of each position
+        /// Additional microseconds for each layer of each position
         #[bpaf(argument("US"), fallback(0))]
         per_layer_us: u64,
-        /// Milliseconds by which its reports lag
+        /// Delay of reports in milliseconds
         #[bpaf(argument("MS"), fallback(0))]
         report_lag_ms: u64,
-        /// Refuse orders with an outdated fence
+        /// Reject orders with an outdated fence
         checks_fence: bool,
-        /// Die after so many milliseconds
+        /// Terminate after this many milliseconds
         #[bpaf(argument("MS"))]
         die_after_ms: Option<u64>,
-        /// Keep no ledger
+        /// Disable the ledger
         no_ledger: bool,
         #[bpaf(external(initial_faults), many)]
         faults: Vec<Fault>,
@@ -81,7 +81,7 @@
     /// A plain service.
     #[bpaf(command)]
     Service {
-        /// Port on loopback, 0 for any free one
+        /// Loopback port; 0 selects a free port
         #[bpaf(argument("PORT"), fallback(0))]
         port: u16,
         #[bpaf(external(initial_faults), many)]
@@ -89,26 +89,26 @@
     },
 }
 
-/// Faults in effect from the start; the route `POST /faults` changes them later.
+/// Parses the initial faults; `POST /faults` changes them at run time.
 fn initial_faults() -> impl bpaf::Parser<Fault> {
     let pause = bpaf::long("pause-ms")
-        .help("Answer nothing for so many milliseconds")
+        .help("Pause processing once for this many milliseconds")
         .argument("MS")
         .map(Fault::PauseMs);
     let slow = bpaf::long("slow")
-        .help("Take so many times longer")
+        .help("Multiply the duration of each iteration by this factor")
         .argument("FACTOR")
         .map(Fault::Slow);
     let lose = bpaf::long("lose-answers")
-        .help("Run so many calls and lose their answers")
+        .help("Run this many calls but lose their responses")
         .argument("N")
         .map(Fault::LoseAnswers);
     let double = bpaf::long("double-answers")
-        .help("Give the results of so many calls twice")
+        .help("Return the results of this many calls twice")
         .argument("N")
         .map(Fault::DoubleAnswers);
     let refuse = bpaf::long("refuse")
-        .help("Refuse so many calls as not run")
+        .help("Reject this many calls as not run")
         .argument("N")
         .map(Fault::Refuse);
     bpaf::construct!([pause, slow, lose, double, refuse])
@@ -135,7 +135,7 @@
     }
 }
 
-/// Run the stand-in until it is told to die. Its address is the first line of standard output.
+/// Runs the stand-in until it stops. The first line of standard output is its base URL.
 async fn run(command: Command) -> Result<(), Error> {
     match command {
         Command::Log {
@@ -157,7 +157,7 @@
                 urls.push(more.url());
                 entrances.push(more);
             }
-            // In one write: a reader of the first line may close the pipe after it.
+            // A single write, because a reader of the first line may close the pipe afterwards.
             println!("{}", urls.join("\n"));
             log.stopped().await;
         }
--- a/reachtally-standin/src/service.rs
+++ b/reachtally-standin/src/service.rs
@@ -1,4 +1,4 @@
-//! A plain service that counts what it ran, for each idempotency key.
+//! A plain service that counts its calls per idempotency key.
 
 use std::collections::BTreeMap;
 use std::path::PathBuf;
@@ -17,58 +17,58 @@
 
 use crate::engine::{Fault, Faults};
 
-/// The longest body taken.
+/// Maximum request body size.
 const BODY_MAX_MIB: u64 = 16;
 
-/// What a service ran.
+/// Call counts and active faults of a service.
 #[derive(Debug, Default)]
-struct Inner {
+struct State {
     runs: BTreeMap<String, u32>,
     total: u64,
     faults: Faults,
 }
 
-type Shared = Arc<Mutex<Inner>>;
+type Shared = Arc<Mutex<State>>;
 
-fn lock(shared: &Shared) -> MutexGuard<'_, Inner> {
+fn lock(shared: &Shared) -> MutexGuard<'_, State> {
     shared
         .lock()
         .unwrap_or_else(|poisoned| poisoned.into_inner())
 }
 
-/// A running service.
+/// A running service server.
 pub struct Service {
     listener: Listener,
     shared: Shared,
 }
 
 impl Service {
-    /// Its base address.
+    /// Returns the base URL.
     pub fn url(&self) -> String {
         self.listener.url()
     }
 
-    /// How often each idempotency key ran.
+    /// Returns the number of calls run per idempotency key.
     pub fn runs(&self) -> BTreeMap<String, u32> {
         lock(&self.shared).runs.clone()
     }
 
-    /// Calls run in all.
+    /// Returns the total number of calls run.
     pub fn total(&self) -> u64 {
         lock(&self.shared).total
     }
 
-    /// Inject a fault.
+    /// Injects a fault.
     pub fn fault(&self, fault: Fault) {
         inject(&self.shared, &self.listener.closer(), fault);
     }
 
-    /// Close it.
+    /// Stops the server.
     pub async fn stop(self) {
         self.listener.stop().await;
     }
 
-    /// Wait until it dies of a fault.
+    /// Waits until the server stops, for example by [`Fault::Die`].
     pub async fn stopped(self) {
         self.listener.stopped().await;
     }
@@ -81,10 +81,10 @@
     }
 }
 
-/// Start a service.
+/// Starts a service server.
 ///
 /// # Errors
-/// If the address can't be bound.
+/// Returns an error if the address can't be bound.
 pub async fn start(listen: reachtally_listen::Options) -> Result<Service, Error> {
     let shared = Shared::default();
     let managed = shared.clone();
@@ -92,7 +92,7 @@
         rocket
             .manage(managed)
             .mount("/", routes![health, fault, runs])
-            .mount("/", any_method())
+            .mount("/", catch_all_routes())
     })
     .await?;
     Ok(Service { listener, shared })
@@ -113,8 +113,8 @@
     Json(lock(shared).runs.clone())
 }
 
-/// The route behind every other path, for each method.
-fn any_method() -> Vec<Route> {
+/// Returns the catch-all routes, one for each method.
+fn catch_all_routes() -> Vec<Route> {
     const RANK: isize = 10;
     [
         Method::Get,
@@ -124,33 +124,35 @@
         Method::Patch,
     ]
     .into_iter()
-    .map(|method| Route::ranked(RANK, method, "/<path..>", Run))
+    .map(|method| Route::ranked(RANK, method, "/<path..>", RunHandler))
     .collect()
 }
 
 #[derive(Clone)]
-struct Run;
+struct RunHandler;
 
-struct Key(Option<String>);
+struct IdempotencyKey(Option<String>);
 
 #[rocket::async_trait]
-impl<'r> FromRequest<'r> for Key {
+impl<'r> FromRequest<'r> for IdempotencyKey {
     type Error = std::convert::Infallible;
 
     async fn from_request(req: &'r Request<'_>) -> Outcome<Self, Self::Error> {
-        Outcome::Success(Key(req.headers().get_one(KEY_HEADER).map(str::to_owned)))
+        Outcome::Success(IdempotencyKey(
+            req.headers().get_one(KEY_HEADER).map(str::to_owned),
+        ))
     }
 }
 
 #[rocket::async_trait]
-impl Handler for Run {
+impl Handler for RunHandler {
     async fn handle<'r>(&self, req: &'r Request<'_>, data: Data<'r>) -> rocket::route::Outcome<'r> {
         let Some(shared) = req.rocket().state::<Shared>().cloned() else {
             return rocket::route::Outcome::Error(Status::InternalServerError);
         };
         let path: PathBuf = req.segments::<PathBuf>(0..).unwrap_or_default();
-        let key = match req.guard::<Key>().await {
-            Outcome::Success(Key(key)) => key,
+        let key = match req.guard::<IdempotencyKey>().await {
+            Outcome::Success(IdempotencyKey(key)) => key,
             _ => None,
         };
         let answer = run(&shared, &path, key, data).await;
@@ -186,20 +188,20 @@
 ) -> ServiceAnswer {
     let body = data.open(BODY_MAX_MIB.mebibytes()).into_string().await;
     let body = body.map(|body| body.into_inner()).unwrap_or_default();
-    if Faults::take(&mut lock(shared).faults.refuse) {
+    if Faults::consume(&mut lock(shared).faults.refuse) {
         return ServiceAnswer(Err(Failure::NotRun));
     }
     let pause = std::mem::take(&mut lock(shared).faults.pause);
     if pause > Duration::ZERO {
         tokio::time::sleep(pause).await;
     }
-    let mut inner = lock(shared);
-    inner.total += 1;
-    let number = inner.total;
+    let mut state = lock(shared);
+    state.total += 1;
+    let number = state.total;
     if let Some(key) = key {
-        *inner.runs.entry(key).or_default() += 1;
+        *state.runs.entry(key).or_default() += 1;
     }
-    if Faults::take(&mut inner.faults.lose_answers) {
+    if Faults::consume(&mut state.faults.lose_answers) {
         return ServiceAnswer(Err(Failure::Lost));
     }
     ServiceAnswer(Ok(format!("{} #{number}: {body}", path.display())))
--- a/reachtally-standin/src/verify.rs
+++ b/reachtally-standin/src/verify.rs
@@ -1,4 +1,4 @@
-//! The oracle: a lineage against the engines' ledgers.
+//! The test oracle: compares a lineage with the engines' ledgers.
 
 use std::collections::BTreeMap;
 
@@ -7,33 +7,34 @@
 
 use crate::engine::Ledger;
 
-/// A run of positions that the router accepted from an engine, by the engine's name.
+/// A range of positions that the router accepted from an engine.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Accepted {
-    /// The engine.
+    /// Name of the engine.
     pub target: String,
-    /// The layers.
+    /// The layers that ran.
     pub layers: Layers,
     /// First position.
     pub from: u32,
     /// One past the last position.
     pub end: u32,
-    /// The attempt.
+    /// The attempt that produced the results.
     pub attempt: u32,
 }
 
-/// What a ledger says against the lineage.
+/// A mismatch between the lineage and the ledgers.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Violation {
-    /// No such engine, or it holds other layers.
+    /// The engine is unknown or holds other layers.
     WrongEngine(String),
-    /// The engine ran the position forward under that attempt `times` times instead of once.
+    /// The engine ran the position `times` times in the attempt, not counting restores, instead of
+    /// once.
     Runs {
         /// The engine.
         target: String,
         /// The position.
         position: u32,
-        /// How often it ran.
+        /// Number of runs.
         times: usize,
     },
     /// A layer was accepted `times` times for a position instead of once.
@@ -42,13 +43,13 @@
         layer: u32,
         /// The position.
         position: u32,
-        /// How often it was accepted.
+        /// Number of times it was accepted.
         times: usize,
     },
 }
 
-/// Check that each of `layers` layers was accepted once for each position below `end`, and that the
-/// engine it was accepted from ran it forward once under that attempt.
+/// Checks that each of `layers` layers was accepted exactly once for each position below `end`, and
+/// that the engine it was accepted from ran it exactly once in that attempt, not counting restores.
 pub fn verify(
     request: RequestId,
     layers: u32,
@@ -57,7 +58,7 @@
     ledgers: &BTreeMap<String, Ledger>,
 ) -> Vec<Violation> {
     let mut violations = Vec::new();
-    check_cover(layers, end, accepted, &mut violations);
+    check_coverage(layers, end, accepted, &mut violations);
     for run in accepted {
         match ledgers.get(&run.target) {
             Some(ledger) if ledger.layers == run.layers => {
@@ -69,7 +70,7 @@
     violations
 }
 
-fn check_cover(layers: u32, end: u32, accepted: &[Accepted], violations: &mut Vec<Violation>) {
+fn check_coverage(layers: u32, end: u32, accepted: &[Accepted], violations: &mut Vec<Violation>) {
     for position in 0..end {
         for layer in 0..layers {
             let times = accepted
@@ -93,8 +94,8 @@
         let times = ledger
             .of(request)
             .iter()
-            .filter(|ran| !ran.restore && ran.attempt == run.attempt)
-            .filter(|ran| (ran.from..ran.end).contains(&position))
+            .filter(|ledger_run| !ledger_run.restore && ledger_run.attempt == run.attempt)
+            .filter(|ledger_run| (ledger_run.from..ledger_run.end).contains(&position))
             .count();
         if times != 1 {
             violations.push(Violation::Runs {
--- a/reachtally-standin/tests/standin/main.rs
+++ b/reachtally-standin/tests/standin/main.rs
@@ -1,4 +1,4 @@
-//! Tests of the stand-in engine, without sockets.
+//! Tests of the stand-in engine state, without sockets.
 
 use std::time::Duration;
 
@@ -56,20 +56,25 @@
     engine.run(batch).remove(0)
 }
 
-/// Send a step through both halves of the model.
-fn through(first: &mut State, second: &mut State, step: Step) -> (u32, String) {
-    let half = run(first, step);
-    let Ok(Output::Activations(activations)) = half.output else {
-        panic!("the first half gives activations");
+/// Runs a step through both halves of the model and returns the token.
+fn run_both_halves(first: &mut State, second: &mut State, step: Step) -> (u32, String) {
+    let first_result = run(first, step);
+    let Ok(Output::Activations(activations)) = first_result.output else {
+        panic!("the first half must return activations");
     };
     let input = Input::Activations(activations);
-    let whole = run(
+    let second_result = run(
         second,
-        self::step(half.attempt, half.from, input, half.positions),
+        self::step(
+            first_result.attempt,
+            first_result.from,
+            input,
+            first_result.positions,
+        ),
     );
-    match whole.output {
+    match second_result.output {
         Ok(Output::Token { id, text, .. }) => (id, text),
-        other => panic!("the second half gives a token, not {other:?}"),
+        other => panic!("the second half must return a token, got {other:?}"),
     }
 }
 
@@ -80,12 +85,12 @@
 }
 
 #[test]
-fn a_chain_answers_what_the_model_answers() {
+fn a_chain_of_engines_matches_the_reference_model() {
     let (mut first, mut second) = halves();
-    let (mut id, mut text) = through(&mut first, &mut second, prompt());
+    let (mut id, mut text) = run_both_halves(&mut first, &mut second, prompt());
     let mut answer = vec![text];
     for position in 3..6 {
-        (id, text) = through(&mut first, &mut second, token(position, id));
+        (id, text) = run_both_halves(&mut first, &mut second, token(position, id));
         answer.push(text);
     }
     let expected = model::reference(LAYERS, "", PROMPT, 4);
@@ -94,7 +99,7 @@
 }
 
 #[test]
-fn a_step_run_twice_or_out_of_order_is_refused() {
+fn a_repeated_or_out_of_order_step_is_refused() {
     let (mut first, _) = halves();
     run(&mut first, prompt());
     run(&mut first, token(3, 7));
@@ -116,7 +121,7 @@
 }
 
 #[test]
-fn a_released_attempt_is_not_run_any_more() {
+fn a_released_attempt_is_not_run_again() {
     let (mut first, _) = halves();
     run(&mut first, prompt());
     let released = Batch {
@@ -135,16 +140,16 @@
 }
 
 #[test]
-fn exported_kv_is_continued_elsewhere() {
+fn exported_kv_is_continued_by_another_engine() {
     let (mut first, mut second) = halves();
-    let (id_of_token, _) = through(&mut first, &mut second, prompt());
-    let export = first.export(id()).expect("it is held");
+    let (token_id, _) = run_both_halves(&mut first, &mut second, prompt());
+    let export = first.export(id()).expect("the engine holds the KV");
     assert_eq!(export.positions, 3);
     let mut other = State::new(Options::range(0, 3, LAYERS));
     assert!(other.import(id(), export.clone()));
     let mut wrong_range = State::new(Options::range(0, 2, LAYERS));
     assert!(!wrong_range.import(id(), export));
-    let (_, text) = through(&mut other, &mut second, token(3, id_of_token));
+    let (_, text) = run_both_halves(&mut other, &mut second, token(3, token_id));
     assert_eq!(text, model::reference(LAYERS, "", PROMPT, 2)[1].text);
 }
 
@@ -154,18 +159,21 @@
         fence,
         action: Action::Load("tiles".to_owned()),
     };
-    let mut lax = State::new(Options::range(0, 3, LAYERS));
-    lax.order(order(5)).expect("taken");
-    lax.order(order(4)).expect("taken");
+    let mut unchecked = State::new(Options::range(0, 3, LAYERS));
+    unchecked.order(order(5)).expect("the order is accepted");
+    unchecked.order(order(4)).expect("the order is accepted");
     let options = Options {
         checks_fence: true,
         ..Options::range(0, 3, LAYERS)
     };
-    let mut strict = State::new(options);
-    strict.order(order(5)).expect("taken");
-    strict.order(order(5)).expect("taken");
-    assert_eq!(strict.order(order(4)), Err(OutdatedFence { highest: 5 }));
-    assert!(strict.report().loaded.contains("tiles"));
+    let mut checked = State::new(options);
+    checked.order(order(5)).expect("the order is accepted");
+    checked.order(order(5)).expect("the order is accepted");
+    assert_eq!(
+        checked.order(order(4)),
+        Err(OutdatedFence { highest_fence: 5 })
+    );
+    assert!(checked.report().loaded.contains("tiles"));
 }
 
 #[tokio::test(start_paused = true)]
