--- a/reachtally-generate/src/lib.rs
+++ b/reachtally-generate/src/lib.rs
@@ -1,15 +1,15 @@
-//! Writes the committed prost code from the `.proto` files, without a `protoc`.
+//! Generates the committed prost code from the `.proto` files, without `protoc`.
 #![forbid(unsafe_code)]
 #![deny(missing_docs)]
 
 use std::path::{Path, PathBuf};
 
-/// One `.proto` file and the code made from it.
+/// A `.proto` file and the Rust code generated from it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Source {
-    /// The crate that holds both.
+    /// The crate that contains both files.
     pub crate_name: &'static str,
-    /// The file's name without its ending, also that of the code.
+    /// File name of both, without the extension.
     pub name: &'static str,
 }
 
@@ -30,39 +30,41 @@
 ];
 
 impl Source {
-    fn root(self) -> PathBuf {
-        let own = Path::new(env!("CARGO_MANIFEST_DIR"));
-        own.with_file_name(self.crate_name)
+    fn crate_root(self) -> PathBuf {
+        let own_root = Path::new(env!("CARGO_MANIFEST_DIR"));
+        own_root.with_file_name(self.crate_name)
     }
 
-    /// Where the committed code is.
+    /// Returns the path of the committed code.
     pub fn committed(self) -> PathBuf {
-        self.root().join(format!("src/generated/{}.rs", self.name))
+        self.crate_root()
+            .join(format!("src/generated/{}.rs", self.name))
     }
 
-    /// The code that the `.proto` file yields.
+    /// Generates the code from the `.proto` file.
     ///
     /// # Errors
-    /// A message if the file is not valid or a temporary directory can't be used.
+    /// Returns a message if the `.proto` file is invalid or the temporary directory can't be used.
     pub fn generate(self) -> Result<String, String> {
-        let dir = self.root().join("proto");
-        let file = dir.join(format!("{}.proto", self.name));
-        let set = protox::compile([file], [&dir]).map_err(|err| err.to_string())?;
-        let out = std::env::temp_dir().join(format!(
+        let proto_dir = self.crate_root().join("proto");
+        let proto_file = proto_dir.join(format!("{}.proto", self.name));
+        let descriptors =
+            protox::compile([proto_file], [&proto_dir]).map_err(|err| err.to_string())?;
+        let out_dir = std::env::temp_dir().join(format!(
             "reachtally-generate-{}-{}",
             self.name,
             std::process::id()
         ));
-        std::fs::create_dir_all(&out).map_err(|err| err.to_string())?;
-        let compiled = prost_build::Config::new()
+        std::fs::create_dir_all(&out_dir).map_err(|err| err.to_string())?;
+        let result = prost_build::Config::new()
             .bytes(["."])
             .default_package_filename(self.name)
-            .out_dir(&out)
-            .compile_fds(set);
-        let code = compiled.and_then(|()| {
-            std::fs::read_to_string(out.join(format!("reachtally.{}.rs", self.name)))
+            .out_dir(&out_dir)
+            .compile_fds(descriptors);
+        let code = result.and_then(|()| {
+            std::fs::read_to_string(out_dir.join(format!("reachtally.{}.rs", self.name)))
         });
-        std::fs::remove_dir_all(&out).map_err(|err| err.to_string())?;
+        std::fs::remove_dir_all(&out_dir).map_err(|err| err.to_string())?;
         code.map_err(|err| err.to_string())
     }
 }
--- a/reachtally-generate/src/main.rs
+++ b/reachtally-generate/src/main.rs
@@ -1,4 +1,4 @@
-//! Writes the committed prost code: `cargo run -p reachtally-generate`.
+//! Regenerates the committed prost code: `cargo run -p reachtally-generate`.
 
 use std::process::ExitCode;
 
@@ -6,10 +6,10 @@
 
 fn main() -> ExitCode {
     for source in SOURCES {
-        let written = source.generate().and_then(|code| {
+        let result = source.generate().and_then(|code| {
             std::fs::write(source.committed(), code).map_err(|err| err.to_string())
         });
-        if let Err(message) = written {
+        if let Err(message) = result {
             eprintln!("reachtally-generate: {}: {message}", source.name);
             return ExitCode::FAILURE;
         }
--- a/reachtally-protocol/tests/protocol/limits.rs
+++ b/reachtally-protocol/tests/protocol/limits.rs
@@ -1,4 +1,4 @@
-//! Rate limits and permits on the wire.
+//! Encoding of rate limits and permits.
 
 use std::time::Duration;
 
@@ -36,8 +36,8 @@
 }
 
 #[test]
-fn messages_come_back_as_they_were_sent() {
-    let ended = LimitReport {
+fn messages_round_trip() {
+    let ended_limit = LimitReport {
         limit: None,
         ..limits(1).remove(0)
     };
@@ -46,7 +46,7 @@
         count: 3,
     });
     let messages = [
-        Message::Limits(vec![ended]),
+        Message::Limits(vec![ended_limit]),
         Message::Limits(limits(LIMITS_IN_MESSAGE)),
         Message::PermitRequest(PermitRequest {
             run: Incarnation(7),
@@ -71,14 +71,14 @@
 }
 
 #[test]
-fn a_limit_too_low_for_the_wire_is_not_taken_for_its_end() {
+fn a_limit_below_the_wire_resolution_is_not_decoded_as_ended() {
     let lowest = LimitReport {
         limit: RateLimit::new(0.0),
         ..limits(1).remove(0)
     };
     let decoded = load::decode(&load::encode(&Message::Limits(vec![lowest])));
-    let Ok(Message::Limits(told)) = decoded else {
+    let Ok(Message::Limits(reports)) = decoded else {
         panic!("{decoded:?}");
     };
-    assert!(told[0].limit.is_some());
+    assert!(reports[0].limit.is_some());
 }
--- a/reachtally-protocol/tests/protocol/main.rs
+++ b/reachtally-protocol/tests/protocol/main.rs
@@ -1,4 +1,4 @@
-//! Messages survive the way there, and nothing that a stranger sends panics.
+//! Round trips of peer messages, and decoding of arbitrary bytes without a panic.
 
 use bytes::BytesMut;
 use proptest::prelude::*;
@@ -14,9 +14,11 @@
     let mut buf = BytesMut::new();
     Codec::default()
         .encode(message, &mut buf)
-        .expect("it encodes");
-    let decoded = Codec::default().decode(&mut buf).expect("it decodes");
-    decoded.expect("the frame is whole")
+        .expect("the message is encodable");
+    let decoded = Codec::default()
+        .decode(&mut buf)
+        .expect("the frame is valid");
+    decoded.expect("the frame is complete")
 }
 
 fn member(number: u64) -> MemberState {
@@ -32,7 +34,7 @@
 }
 
 #[test]
-fn every_message_survives() {
+fn every_message_round_trips() {
     let record = Read {
         offset: 3,
         at_ms: 5,
@@ -54,17 +56,22 @@
 }
 
 #[test]
-fn half_a_frame_waits_for_the_rest() {
+fn an_incomplete_frame_waits_for_the_remaining_bytes() {
     let mut buf = BytesMut::new();
     Codec::default()
         .encode(Message::Pull(1), &mut buf)
-        .expect("it encodes");
-    let mut half = buf.split_to(buf.len() - 1);
+        .expect("the message is encodable");
+    let mut incomplete = buf.split_to(buf.len() - 1);
     let mut codec = Codec::default();
-    assert!(codec.decode(&mut half).expect("no error yet").is_none());
-    half.unsplit(buf);
+    assert!(
+        codec
+            .decode(&mut incomplete)
+            .expect("an incomplete frame is no error")
+            .is_none()
+    );
+    incomplete.unsplit(buf);
     assert_eq!(
-        codec.decode(&mut half).expect("whole now"),
+        codec.decode(&mut incomplete).expect("the frame is valid"),
         Some(Message::Pull(1))
     );
 }
@@ -72,9 +79,9 @@
 proptest! {
     #![proptest_config(ProptestConfig { failure_persistence: None, ..ProptestConfig::default() })]
     #[test]
-    fn no_bytes_panic_the_codec(bytes in proptest::collection::vec(any::<u8>(), 0..256)) {
+    fn arbitrary_bytes_never_panic_the_codec(bytes in proptest::collection::vec(any::<u8>(), 0..256)) {
         let mut buf = BytesMut::from(&bytes[..]);
-        // Whatever it yields, it must come back.
+        // Any result is accepted; decoding must not panic or hang.
         let _ = Codec::default().decode(&mut buf);
         let mut framed = BytesMut::new();
         framed.extend_from_slice(&(bytes.len() as u32).to_be_bytes());
--- a/reachtally-protocol/tests/protocol/relay.rs
+++ b/reachtally-protocol/tests/protocol/relay.rs
@@ -1,4 +1,4 @@
-//! Messages between boxes that relay whole requests.
+//! Encoding of the messages between boxes that relay whole requests.
 
 use std::time::Duration;
 
@@ -47,8 +47,8 @@
 }
 
 #[test]
-fn questions_and_answers_survive() {
-    let ask = UpdateRequest {
+fn update_requests_and_updates_round_trip() {
+    let request = UpdateRequest {
         targets_end: Position {
             era: Era(3),
             offset: 812,
@@ -61,10 +61,10 @@
         targets: Cursor { run: 5, next: 77 },
     };
     assert_eq!(
-        UpdateRequest::decode(&ask.encode()).expect("it decodes"),
-        ask
+        UpdateRequest::decode(&request.encode()).expect("the request is valid"),
+        request
     );
-    let news = Update {
+    let update = Update {
         targets_end: Position {
             era: Era(3),
             offset: 812,
@@ -82,27 +82,33 @@
         targets: Cursor { run: 5, next: 80 },
         page: Bytes::from_static(b"packed"),
     };
-    assert_eq!(Update::decode(news.encode()).expect("it decodes"), news);
+    assert_eq!(
+        Update::decode(update.encode()).expect("the update is valid"),
+        update
+    );
 }
 
 #[test]
-fn a_page_of_targets_survives_and_nothing_is_no_page() {
+fn a_page_of_targets_round_trips_and_no_bytes_are_an_empty_page() {
     let page = TargetPage {
         is_whole: true,
         wrote: vec![entry(None), entry(Some("small"))],
         lapsed: vec!["run-1".to_owned()],
         gone: vec!["run-2".to_owned()],
     };
-    let packed = page.compress().expect("it packs");
-    assert_eq!(TargetPage::decompress(&packed).expect("it unpacks"), page);
-    let nothing = TargetPage::decompress(&[]).expect("it is no page");
-    assert_eq!(nothing, TargetPage::default());
+    let packed = page.compress().expect("compression succeeds");
+    assert_eq!(
+        TargetPage::decompress(&packed).expect("the data is valid"),
+        page
+    );
+    let empty = TargetPage::decompress(&[]).expect("no bytes are an empty page");
+    assert_eq!(empty, TargetPage::default());
     assert!(TargetPage::decompress(&packed[..packed.len() / 2]).is_err());
 }
 
-/// Figure before: some 90 bytes a target.
+/// Without compression, a target took about 90 bytes.
 #[test]
-fn a_page_of_thousands_of_targets_takes_a_few_dozen_bytes_for_each() {
+fn a_page_of_thousands_of_targets_takes_fewer_than_36_bytes_per_target() {
     let target = |number: u32| Entry {
         id: format!(
             "i-{:010x}",
@@ -118,24 +124,24 @@
         wrote: (0..3000).map(target).collect(),
         ..TargetPage::default()
     };
-    let packed = page.compress().expect("it packs");
+    let packed = page.compress().expect("compression succeeds");
     assert!(packed.len() < 3000 * 36, "{} bytes", packed.len());
 }
 
 #[test]
-fn an_age_never_becomes_smaller_on_the_way() {
+fn an_age_never_decreases_in_a_round_trip() {
     for micros in [0, 1, 999, 1_000, 1_001, 999_999] {
         let age = Duration::from_micros(micros);
-        let news = Update {
+        let update = Update {
             confirmed_age: Some(age),
             ..Update::default()
         };
-        let decoded = Update::decode(news.encode()).expect("it decodes");
-        assert!(decoded.confirmed_age.expect("it is told") >= age);
+        let decoded = Update::decode(update.encode()).expect("the update is valid");
+        assert!(decoded.confirmed_age.expect("the age is present") >= age);
     }
 }
 
-/// A run with the longest mark.
+/// Returns a target run with the largest mark, which has the longest encoding.
 fn run(id: String) -> TargetRun {
     TargetRun {
         id: id.into(),
@@ -160,7 +166,7 @@
     }
 }
 
-/// Boxes of `domains` failure domains.
+/// Returns the box counts of `domains` failure domains.
 fn counts(domains: u32) -> Vec<DomainCount> {
     let count = |number| DomainCount {
         domain: format!("domain-{number}"),
@@ -170,13 +176,13 @@
 }
 
 #[test]
-fn a_box_that_leaves_its_collector_says_so() {
+fn a_leave_message_round_trips() {
     let leave = Message::Leave(Incarnation(u64::MAX));
     assert_eq!(load::decode(&load::encode(&leave)), Ok(leave));
 }
 
 #[test]
-fn a_message_of_loads_keeps_to_one_datagram() {
+fn a_load_message_is_truncated_to_one_datagram() {
     let loads: Vec<TargetLoad> = (0..500).map(target_load).collect();
     let report = Message::Report(ReportPage {
         run: Incarnation(3),
@@ -198,18 +204,18 @@
     for message in [report, part, others] {
         let bytes = load::encode(&message);
         assert!(bytes.len() <= load::MESSAGE_MAX);
-        let decoded = load::decode(&bytes).expect("it decodes");
-        let kept = match decoded {
+        let decoded = load::decode(&bytes).expect("the datagram is valid");
+        let received = match decoded {
             Message::Report(report) => report.loads,
             Message::Part(part) => part.loads,
             Message::Others(others) => {
                 assert_eq!(others.counts, counts(13));
                 others.loads
             }
-            other => panic!("it holds loads: {other:?}"),
+            other => panic!("decoded as a message without loads: {other:?}"),
         };
-        assert!(kept.len() > 20);
-        assert_eq!(kept, loads[..kept.len()]);
+        assert!(received.len() > 20);
+        assert_eq!(received, loads[..received.len()]);
     }
 }
 
@@ -237,17 +243,18 @@
         .collect();
     let unmarked: Vec<TargetLoad> = (0..TARGETS_PER_MESSAGE).map(unmarked).map(load).collect();
     for loads in [marked, unmarked] {
-        // In the size of two years there are thirteen failure domains.
+        // Capacity planning (docs/CAPACITY.md) assumes thirteen failure domains.
         let others = Message::Others(Others {
             counts: counts(13),
             loads,
         });
-        let decoded = load::decode(&load::encode(&others)).expect("it decodes");
+        let decoded = load::decode(&load::encode(&others)).expect("the datagram is valid");
         assert_eq!(decoded, others);
     }
 }
 
-/// A report was cut to one datagram, so that a busy box's load on most of its targets was unknown to all others.
+/// Reports used to be truncated to one datagram, so a busy box's load on most of its targets was
+/// unknown to all other boxes.
 #[test]
 fn a_report_of_many_targets_reaches_the_collector_whole() {
     let sent: Vec<TargetLoad> = (0..200).map(target_load).collect();
@@ -262,7 +269,7 @@
         let bytes = load::encode(&Message::Report(page));
         assert!(bytes.len() <= load::MESSAGE_MAX);
         let Ok(Message::Report(page)) = load::decode(&bytes) else {
-            panic!("it is a page of a report");
+            panic!("not decoded as a report page");
         };
         assert_eq!(received, None);
         received = assembler.add(page);
@@ -270,9 +277,9 @@
     assert_eq!(received, Some(report));
 }
 
-/// Queues make loads longer, so that as many as usual may not fit one datagram.
+/// Queue reports enlarge the loads, so that the usual number may not fit one datagram.
 #[test]
-fn loads_of_collectors_take_as_many_datagrams_as_they_need() {
+fn collector_loads_are_split_into_as_many_datagrams_as_needed() {
     let mut loads: Vec<TargetLoad> = (0..100).map(target_load).collect();
     let part = Part {
         run: Incarnation(u64::MAX),
@@ -290,7 +297,7 @@
         let received = match load::decode(&bytes) {
             Ok(Message::Part(part)) => part.loads,
             Ok(Message::Others(others)) => others.loads,
-            other => panic!("it holds loads: {other:?}"),
+            other => panic!("decoded as a message without loads: {other:?}"),
         };
         if loads.is_empty() {
             loads = (0..100).map(target_load).collect();
@@ -302,20 +309,20 @@
     assert!(loads.is_empty());
 }
 
-/// Versions that send reports of one datagram name no number of pages.
+/// Versions that send single-datagram reports omit the page count.
 #[test]
-fn a_report_without_a_number_of_pages_is_whole() {
-    // Kind 1 of a datagram, a report with a run of eight bytes and number 1.
+fn a_report_without_a_page_count_is_complete() {
+    // Message kind 1: a report with a run of eight bytes and number 1.
     let bytes = [10, 11, 9, 7, 0, 0, 0, 0, 0, 0, 0, 16, 1];
     let decoded = load::decode(&bytes);
     let Ok(Message::Report(page)) = decoded else {
-        panic!("it is a page of a report");
+        panic!("not decoded as a report page");
     };
     assert!(ReportAssembler::default().add(page).is_some());
 }
 
 fn suspect(number: u8) -> SuspectReport {
-    let end = |run: usize| CrashRecord {
+    let crash = |run: usize| CrashRecord {
         run: RunDigest(u32::MAX - run as u32),
         had_begun: true,
         is_acquitted: run.is_multiple_of(2),
@@ -324,37 +331,38 @@
         fingerprint: Fingerprint([number; FINGERPRINT_BYTES]),
         account: AccountDigest(u32::MAX),
         life: SUSPECT_TTL,
-        ends: (0..MAX_CRASHES).map(end).collect(),
+        ends: (0..MAX_CRASHES).map(crash).collect(),
     }
 }
 
 #[test]
-fn as_many_suspects_as_are_told_at_once_fit_one_datagram() {
-    let told: Vec<SuspectReport> = (0..SUSPECTS_PER_MESSAGE as u8).map(suspect).collect();
-    let bytes = load::encode(&Message::Suspects(told.clone()));
+fn the_maximum_number_of_suspects_fits_one_datagram() {
+    let sent: Vec<SuspectReport> = (0..SUSPECTS_PER_MESSAGE as u8).map(suspect).collect();
+    let bytes = load::encode(&Message::Suspects(sent.clone()));
     assert!(bytes.len() <= load::MESSAGE_MAX, "{}", bytes.len());
-    assert_eq!(load::decode(&bytes), Ok(Message::Suspects(told)));
+    assert_eq!(load::decode(&bytes), Ok(Message::Suspects(sent)));
 }
 
 #[test]
-fn what_is_kept_of_a_request_is_read_with_the_time_that_is_left() {
-    let told = suspect(3);
+fn a_stored_suspect_is_decoded_with_its_remaining_lifetime() {
+    let report = suspect(3);
     let secs = Duration::from_secs;
-    let kept = suspects::encode_stored(&told, secs(1_000));
-    let read = |now| suspects::decode_stored(&kept, secs(now)).expect("it decodes");
-    let left = |life| SuspectReport {
+    let stored = suspects::encode_stored(&report, secs(1_000));
+    let read =
+        |now| suspects::decode_stored(&stored, secs(now)).expect("the stored suspect is valid");
+    let with_life = |life| SuspectReport {
         life: secs(life),
-        ..told.clone()
+        ..report.clone()
     };
-    assert_eq!(read(970), left(30));
-    assert_eq!(read(1_001), left(0));
+    assert_eq!(read(970), with_life(30));
+    assert_eq!(read(1_001), with_life(0));
     assert!(suspects::decode_stored(b"another writer's", secs(0)).is_err());
     assert!(suspects::decode_stored(&[], secs(0)).is_err());
 }
 
 #[test]
-fn a_fingerprint_of_another_length_is_refused() {
-    // Kind 5 of a datagram, a suspect with a fingerprint of two bytes.
+fn a_fingerprint_of_the_wrong_length_is_rejected() {
+    // Message kind 5: a suspect with a fingerprint of two bytes.
     let bytes = [0x2a, 6, 0x0a, 4, 0x0a, 2, 7, 7];
     assert_eq!(
         load::decode(&bytes),
@@ -363,9 +371,9 @@
 }
 
 #[test]
-fn a_datagram_of_an_unknown_kind_is_refused() {
+fn a_datagram_of_an_unknown_kind_is_rejected() {
     assert_eq!(load::decode(&[]), Err(load::LoadError::Unknown));
-    // A field that a later version may add.
+    // An unknown field, such as one added by a later version.
     assert_eq!(load::decode(&[0x7a, 0]), Err(load::LoadError::Unknown));
     let truncated = &load::encode(&Message::Others(Others {
         counts: counts(1),
@@ -379,7 +387,7 @@
 
 proptest! {
     #[test]
-    fn strangers_bytes_never_panic(bytes in proptest::collection::vec(any::<u8>(), 0..200)) {
+    fn arbitrary_bytes_never_panic(bytes in proptest::collection::vec(any::<u8>(), 0..200)) {
         let _ = load::decode(&bytes);
         let _ = UpdateRequest::decode(&bytes);
         let _ = TargetPage::decompress(&bytes);
@@ -389,21 +397,23 @@
 
 proptest! {
     #[test]
-    fn a_packed_text_is_unpacked_whole(text in proptest::collection::vec(any::<u8>(), 0..4096)) {
-        let packed = packed::compress(&text).expect("it packs");
-        prop_assert_eq!(&packed::decompress(&packed).expect("it unpacks")[..], &text[..]);
+    fn compressed_data_round_trips(text in proptest::collection::vec(any::<u8>(), 0..4096)) {
+        let packed = packed::compress(&text).expect("compression succeeds");
+        prop_assert_eq!(&packed::decompress(&packed).expect("the data is valid")[..], &text[..]);
     }
 
     #[test]
-    fn nonsense_is_refused_or_unpacked_without_a_panic(bytes in proptest::collection::vec(any::<u8>(), 0..512)) {
-        // Some nonsense is a packed text by chance; the configuration's decoder judges that.
+    fn decompressing_arbitrary_bytes_never_panics(bytes in proptest::collection::vec(any::<u8>(), 0..512)) {
+        // Arbitrary bytes may be valid compressed data; the configuration's decoder validates the
+        // result.
         let _ = packed::decompress(&bytes);
     }
 }
 
 #[test]
-fn a_text_that_unpacks_without_end_is_refused() {
-    let packed = packed::compress(&vec![0; reachtally_protocol::FRAME_MAX + 1]).expect("it packs");
+fn data_that_decompresses_beyond_the_limit_is_rejected() {
+    let packed = packed::compress(&vec![0; reachtally_protocol::FRAME_MAX + 1])
+        .expect("compression succeeds");
     assert!(packed.len() < 1 << 20);
     assert!(packed::decompress(&packed).is_err());
 }
--- a/reachtally-protocol/tests/protocol/shares.rs
+++ b/reachtally-protocol/tests/protocol/shares.rs
@@ -1,4 +1,4 @@
-//! Rates and shares of client accounts on the wire.
+//! Encoding of the rates and shares of client accounts.
 
 use proptest::prelude::*;
 use reachtally_core::forward::limit::DemandRate;
@@ -12,17 +12,17 @@
 use reachtally_protocol::load::{self, MESSAGE_MAX};
 use reachtally_protocol::shares::{pages_of_rates, pages_of_shares};
 
-fn rates(domain: Option<&str>, services: usize, accounts: usize, each: f64) -> AccountRates {
+fn rates(domain: Option<&str>, services: usize, accounts: usize, rate: f64) -> AccountRates {
     let accounts = (0..accounts as u32).map(|number| AccountRate {
         account: AccountDigest(u32::MAX - number),
-        rate: DemandRate::new(each),
+        rate: DemandRate::new(rate),
     });
     let accounts: Vec<AccountRate> = accounts.collect();
     let service = |number| ServiceRates {
         service: format!("service-{number}").into(),
         is_contended: true,
-        offered: DemandRate::new(each * 100.0),
-        admitted: DemandRate::new(each),
+        offered: DemandRate::new(rate * 100.0),
+        admitted: DemandRate::new(rate),
         count: 5_000,
         accounts: accounts.clone(),
     };
@@ -54,12 +54,12 @@
 fn round_trip(message: Message) -> Message {
     let bytes = load::encode(&message);
     assert!(bytes.len() <= MESSAGE_MAX, "{}", bytes.len());
-    load::decode(&bytes).expect("it decodes")
+    load::decode(&bytes).expect("the datagram is valid")
 }
 
-/// What did not fit a datagram would be left out of every report.
+/// An entry that does not fit a datagram would be missing from every report.
 #[test]
-fn pages_come_back_whole_and_fit_a_datagram() {
+fn pages_round_trip_and_fit_a_datagram() {
     let from_box = rates(None, MAX_SERVICES, MAX_ACCOUNTS_PER_BOX, 7.125);
     let from_collector = rates(Some("north"), MAX_SERVICES, MAX_ACCOUNTS_PER_DOMAIN, 1e6);
     for sent in [from_box, from_collector] {
@@ -91,9 +91,12 @@
     )));
     round_trip(Message::AccountRates(rates(None, 2, 1_000, 1e6)));
     round_trip(Message::AccountShares(shares(200)));
-    let mut long = rates(None, 2, 1, 1.0);
-    long.services[0].service = "s".repeat(MESSAGE_MAX).into();
-    assert_eq!(pages_of_rates(&long)[0].services, long.services[1..]);
+    let mut oversized = rates(None, 2, 1, 1.0);
+    oversized.services[0].service = "s".repeat(MESSAGE_MAX).into();
+    assert_eq!(
+        pages_of_rates(&oversized)[0].services,
+        oversized.services[1..]
+    );
 }
 
 #[test]
@@ -105,22 +108,22 @@
         9.5,
     )));
     let answer = load::encode(&Message::AccountShares(shares(1)));
-    let sums = rates(Some("north"), 1, MAX_ACCOUNTS_PER_DOMAIN, 500.0);
-    let sums = load::encode(&Message::AccountRates(sums));
-    assert!(report.len() <= 250 && answer.len() <= 250 && sums.len() <= 550);
+    let totals = rates(Some("north"), 1, MAX_ACCOUNTS_PER_DOMAIN, 500.0);
+    let totals = load::encode(&Message::AccountRates(totals));
+    assert!(report.len() <= 250 && answer.len() <= 250 && totals.len() <= 550);
 }
 
-/// The other numbers of a message are those of types that are bounded wherever they are made.
+/// All other numbers of a message have types that enforce their bounds on construction.
 #[test]
 fn corrupt_numbers_are_bounded() {
-    let mut wrong = shares(1);
+    let mut corrupt = shares(1);
     for (account, fraction) in (0..).zip([f64::NAN, -3.0, f64::INFINITY, 1e300]) {
-        wrong.services[0].accounts[account].fraction = fraction;
+        corrupt.services[0].accounts[account].fraction = fraction;
     }
-    let Message::AccountShares(told) = round_trip(Message::AccountShares(wrong)) else {
-        panic!("it is of another kind");
+    let Message::AccountShares(decoded) = round_trip(Message::AccountShares(corrupt)) else {
+        panic!("decoded as another kind of message");
     };
-    let accounts = &told.services[0].accounts;
+    let accounts = &decoded.services[0].accounts;
     assert!(
         accounts
             .iter()
@@ -131,13 +134,13 @@
 proptest! {
     #![proptest_config(ProptestConfig { failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// Any number that the wire can carry is a finite rate afterwards, also where accounts lack their rates.
+    /// Every encodable number decodes to a finite rate, also if the rates of accounts are missing.
     #[test]
-    fn whatever_decodes_is_finite(bytes in proptest::collection::vec(any::<u8>(), 0..64), kind in prop::sample::select(vec![0x52u8, 0x5a])) {
+    fn every_decoded_rate_is_finite(bytes in proptest::collection::vec(any::<u8>(), 0..64), kind in prop::sample::select(vec![0x52u8, 0x5a])) {
         let mut message = vec![kind, bytes.len() as u8 + 2, 0x22, bytes.len() as u8];
         message.extend(bytes);
-        if let Ok(Message::AccountRates(told)) = load::decode(&message) {
-            for service in told.services {
+        if let Ok(Message::AccountRates(decoded)) = load::decode(&message) {
+            for service in decoded.services {
                 let rates = service.accounts.iter().map(|each| each.rate);
                 for rate in rates.chain([service.offered, service.admitted]) {
                     prop_assert!((0.0..=1e6).contains(&rate.per_second()));
