--- a/reachtally-protocol/tests/protocol/relay.rs
+++ b/reachtally-protocol/tests/protocol/relay.rs
@@ -142,7 +142,7 @@
 }
 
 /// Returns a target run with the largest mark, which has the longest encoding.
-fn run(id: String) -> TargetRun {
+fn target_run(id: String) -> TargetRun {
     TargetRun {
         id: id.into(),
         mark: RunMark((1 << 14) - 1),
@@ -151,7 +151,7 @@
 
 fn target_load(number: u32) -> TargetLoad {
     TargetLoad {
-        target: run(format!("some-run-of-a-target-{number}")),
+        target: target_run(format!("some-run-of-a-target-{number}")),
         load: Load {
             pace: (number % 2 == 1).then_some(2.5),
             silent: number,
@@ -232,7 +232,7 @@
             queue: None,
         },
     };
-    let marked = |number: usize| run(format!("i-{number:010x}"));
+    let marked = |number: usize| target_run(format!("i-{number:010x}"));
     let unmarked = |number: usize| TargetRun {
         mark: RunMark::default(),
         ..marked(number)
--- a/reachtally-spec/src/lineage.rs
+++ b/reachtally-spec/src/lineage.rs
@@ -150,8 +150,8 @@
                 target,
                 batch,
             } => {
-                let at = self.targets.iter().position(|known| *known == target);
-                let engine = at.unwrap_or_default();
+                let index = self.targets.iter().position(|known| *known == target);
+                let engine = index.unwrap_or_default();
                 self.in_flight.push(Message::Steps {
                     call,
                     engine,
@@ -274,19 +274,19 @@
 
     fn actions(&self) -> Vec<Action> {
         let mut actions = Vec::new();
-        for (number, message) in self.in_flight.iter().enumerate() {
-            actions.push(Action::Deliver(number));
+        for (message_index, message) in self.in_flight.iter().enumerate() {
+            actions.push(Action::Deliver(message_index));
             if self.remaining.lost_messages > 0 {
-                actions.push(Action::Lose(number));
+                actions.push(Action::Lose(message_index));
             }
             if self.remaining.duplicate_responses > 0 && matches!(message, Message::Results { .. })
             {
-                actions.push(Action::Duplicate(number));
+                actions.push(Action::Duplicate(message_index));
             }
         }
         if self.remaining.crashes > 0 {
             let engines_with_kv =
-                (0..self.engines.len()).filter(|at| self.engines[*at].requests_held() > 0);
+                (0..self.engines.len()).filter(|engine| self.engines[*engine].requests_held() > 0);
             actions.extend(engines_with_kv.map(Action::Die));
         }
         if self.remaining.call_timeouts > 0 && self.world.calls.values().next().is_some() {
@@ -297,18 +297,18 @@
 
     fn apply(&mut self, action: &Action) {
         match *action {
-            Action::Deliver(number) => {
-                let message = self.in_flight.remove(number);
+            Action::Deliver(message_index) => {
+                let message = self.in_flight.remove(message_index);
                 self.deliver(message);
             }
-            Action::Lose(number) => {
+            Action::Lose(message_index) => {
                 self.remaining.lost_messages -= 1;
-                let message = self.in_flight.remove(number);
+                let message = self.in_flight.remove(message_index);
                 self.lose(message);
             }
-            Action::Duplicate(number) => {
+            Action::Duplicate(message_index) => {
                 self.remaining.duplicate_responses -= 1;
-                let message = self.in_flight[number].clone();
+                let message = self.in_flight[message_index].clone();
                 self.deliver(message);
             }
             Action::Die(engine) => {
--- a/reachtally-standin/src/fabric/mod.rs
+++ b/reachtally-standin/src/fabric/mod.rs
@@ -242,13 +242,13 @@
                 batch,
             } => {
                 let url = self.nodes[daemon].url(target);
-                let arrives = ScheduledEvent::BatchArrives {
+                let arrival = ScheduledEvent::BatchArrives {
                     daemon,
                     call,
                     url,
                     batch,
                 };
-                self.queue.push(self.now + LINK_LATENCY, arrives);
+                self.queue.push(self.now + LINK_LATENCY, arrival);
             }
             Effect::Call {
                 request,
@@ -257,7 +257,7 @@
                 key,
             } => {
                 let url = self.nodes[daemon].url(target);
-                let arrives = ScheduledEvent::CallArrives {
+                let arrival = ScheduledEvent::CallArrives {
                     daemon,
                     request,
                     target,
@@ -265,7 +265,7 @@
                     key,
                     call,
                 };
-                self.queue.push(self.now + LINK_LATENCY, arrives);
+                self.queue.push(self.now + LINK_LATENCY, arrival);
             }
             Effect::MoveKv {
                 request,
--- a/reachtally-standin/src/main.rs
+++ b/reachtally-standin/src/main.rs
@@ -153,9 +153,9 @@
             let mut urls = vec![log.url()];
             let mut entrances = Vec::new();
             for port in entrance {
-                let more = log_server::entrance(listen(port), log.log().clone()).await?;
-                urls.push(more.url());
-                entrances.push(more);
+                let server = log_server::entrance(listen(port), log.log().clone()).await?;
+                urls.push(server.url());
+                entrances.push(server);
             }
             // A single write, because a reader of the first line may close the pipe afterwards.
             println!("{}", urls.join("\n"));
