--- a/reachtally-bench/src/admission.rs
+++ b/reachtally-bench/src/admission.rs
@@ -1,14 +1,16 @@
-//! Requests of several ranks and accounts that want more than the engines can answer in time.
+//! Compares admission policies for requests of several ranks and accounts whose demand exceeds the engines' capacity.
 //!
-//! The shipped choice, reports and admission on a virtual clock, beside no admission and probabilities that collectors compute. Boxes
-//! learn of each other by datagrams, of which some are lost; engines queue and refuse as theirs do.
+//! Runs the production path selection, load reports and admission on a virtual clock, and compares them with no admission and with
+//! admission probabilities computed by collectors. Boxes exchange loads over lossy datagrams; engines queue and refuse requests as
+//! production engines do.
 //!
-//! Demand and use are in parts of the capacity: what one box that knows all gets answered in time if it sends whatever fits.
+//! Demand and utilization are fractions of the capacity: the rate that a single box with complete knowledge gets answered in time
+//! when it sends every request that fits.
 
 mod engines;
-mod play;
+mod results;
 mod scenario;
-mod seen;
+mod simulation;
 #[cfg(test)]
 mod tests;
 mod ways;
@@ -20,69 +22,69 @@
 
 use crate::report::{Goal, Report};
 use engines::{Engines, Layout};
-use play::{Play, Setting, Shares};
-use scenario::{HOT, RANKS, Scenario};
-use seen::Seen;
-use ways::Way;
+use results::Results;
+use scenario::{HOT_ACCOUNT, RANKS, Scenario};
+use simulation::{Parameters, ShareSplit, Simulation};
+use ways::Policy;
 
-/// Numbers of boxes.
-const BOXES: [usize; 4] = [8, 64, 295, 2500];
-/// Chains of engines in a failure domain, for few boxes and for more.
-const CHAINS_FEW: usize = 4;
+/// Fleet sizes to simulate, in boxes.
+const BOX_COUNTS: [usize; 4] = [8, 64, 295, 2500];
+/// Chains of engines per failure domain, below and from `MANY_BOXES` boxes.
+const CHAINS_SMALL_FLEET: usize = 4;
 const CHAINS: usize = 8;
-/// Boxes from which there are more chains.
-const MORE_FROM: usize = 64;
-/// Demand at which the capacity is measured, in that of whole chains: more than the engines run in any case.
-const MEASURED_AT: f64 = 2.0;
-/// Plays at the same time.
+/// Number of boxes from which a failure domain has `CHAINS` chains.
+const MANY_BOXES: usize = 64;
+/// Demand at which the capacity is measured, as a multiple of the capacity of whole chains; it always saturates the engines.
+const SATURATING_DEMAND: f64 = 2.0;
+/// Simulations that run concurrently.
 const THREADS: usize = 4;
-/// Most that a rank's share may be below that of a less urgent one.
-const INVERSION_MOST: f64 = 0.02;
-/// Least share of the most urgent rank while its demand fits.
-const FIRST_LEAST: f64 = 0.98;
-/// Least use of the capacity where demand exceeds it.
-const USED_LEAST: f64 = 0.95;
-/// Most refusals while capacity is free, for each request.
-const FREE_MOST: f64 = 0.001;
-/// Most time until steady after a step, in s.
-const STEADY_MOST: f64 = 2.0;
-/// Least share that the others keep while an account floods, in their share without it.
-const KEPT_LEAST: f64 = 0.97;
-/// Least share of any account, in that of all.
-const ACCOUNT_LEAST: f64 = 0.25;
+/// Largest allowed deficit of a rank's in-time share against that of a less urgent rank.
+const MAX_INVERSION: f64 = 0.02;
+/// Smallest allowed in-time share of the most urgent rank while its demand fits the capacity.
+const MIN_FIRST_RANK_SHARE: f64 = 0.98;
+/// Smallest allowed utilization of the capacity under overload.
+const MIN_UTILIZATION: f64 = 0.95;
+/// Largest allowed number of refusals per request while capacity is free.
+const MAX_FREE_REFUSALS: f64 = 0.001;
+/// Longest allowed settling time after a step, in s.
+const MAX_SETTLING_S: f64 = 2.0;
+/// Smallest allowed share of the other accounts while one floods, relative to their share without the flood.
+const MIN_KEPT_SHARE: f64 = 0.97;
+/// Smallest allowed share of any account, relative to the share of all accounts.
+const MIN_ACCOUNT_SHARE: f64 = 0.25;
 
-/// What is played.
+/// Command-line options of the experiment.
 #[derive(Debug, Clone, Bpaf)]
 pub struct Options {
-    /// Largest number of boxes
+    /// Largest number of boxes to simulate
     #[bpaf(argument("N"), fallback(64))]
     most_boxes: usize,
-    /// Only this number of boxes
+    /// Simulate only this number of boxes
     #[bpaf(argument("N"), optional)]
     boxes: Option<usize>,
-    /// Only scenarios whose name contains this
+    /// Simulate only scenarios whose name contains this
     #[bpaf(argument("NAME"), optional)]
     only: Option<String>,
-    /// Only the shipped way, without the others beside it
+    /// Only the shipped admission policy
     shipped: bool,
-    /// An account's most urgent requests are those within its share, in place of the same part of each rank
+    /// Fill an account's share with its most urgent requests, rather than with the same fraction of each rank
     urgent_first: bool,
-    /// Second sends that the shared budget allows for each request
+    /// Repeated sends that the shared budget allows per request
     #[bpaf(argument("RATIO"), fallback(0.1))]
     second_sends: f64,
-    /// Seed of all draws
+    /// Seed of the random number generator
     #[bpaf(argument("N"), fallback(1))]
     seed: u64,
 }
 
-/// Run the experiment.
+/// Runs the experiment.
 pub fn run(options: &Options) -> Result<Report, String> {
-    let listed = BOXES
+    let listed = BOX_COUNTS
         .into_iter()
         .filter(|boxes| *boxes <= options.most_boxes);
     let sizes = options.boxes.map_or(listed.collect(), |boxes| vec![boxes]);
     if sizes.contains(&0) {
-        return Err("there is at least one box".to_owned());
+        return Err("the number of boxes must be at least 1".to_owned());
     }
     let is_wanted = |scenario: &Scenario| {
         let only = options.only.as_ref();
@@ -90,17 +92,18 @@
     };
     let scenarios: Vec<Scenario> = Scenario::ALL.into_iter().filter(is_wanted).collect();
     let mut report = Report::default();
-    let mut settings = Vec::new();
+    let mut parameter_sets = Vec::new();
     for boxes in sizes {
-        let capacity = |layout| measured(&mut report, layout, boxes, options);
+        let capacity = |layout| measure_capacity(&mut report, layout, boxes, options);
         let [mixed, two_fast] = [Layout::Mixed, Layout::TwoFast].map(capacity);
         for scenario in &scenarios {
-            let ways = Way::ALL.into_iter();
-            settings.extend(
-                ways.filter(|way| !options.shipped || *way == Way::Reserve)
-                    .map(|way| Setting {
+            let policies = Policy::ALL.into_iter();
+            parameter_sets.extend(
+                policies
+                    .filter(|policy| !options.shipped || *policy == Policy::Reserve)
+                    .map(|policy| Parameters {
                         scenario: *scenario,
-                        way,
+                        policy,
                         boxes,
                         chains: chains(boxes),
                         capacity: match scenario.layout() {
@@ -108,8 +111,8 @@
                             Layout::TwoFast => two_fast,
                         },
                         shares: match options.urgent_first {
-                            true => Shares::UrgentFirst,
-                            false => Shares::Even,
+                            true => ShareSplit::UrgentFirst,
+                            false => ShareSplit::Even,
                         },
                         second_sends: options.second_sends,
                         seed: options.seed,
@@ -117,170 +120,204 @@
             );
         }
     }
-    let plays: Vec<(Setting, Seen)> = settings.iter().copied().zip(play_all(&settings)).collect();
-    for (setting, seen) in &plays {
-        eprintln!("{}", line(setting, seen));
-        add_figures(&mut report, setting, seen);
-        let is_without = |other: &&(Setting, Seen)| {
+    let runs: Vec<(Parameters, Results)> = parameter_sets
+        .iter()
+        .copied()
+        .zip(run_all(&parameter_sets))
+        .collect();
+    for (parameters, results) in &runs {
+        eprintln!("{}", summary_line(parameters, results));
+        add_figures(&mut report, parameters, results);
+        let is_baseline = |other: &&(Parameters, Results)| {
             let (other, _) = other;
-            let is_alike = (other.boxes, other.way) == (setting.boxes, setting.way);
+            let is_alike = (other.boxes, other.policy) == (parameters.boxes, parameters.policy);
             is_alike && other.scenario == Scenario::NoFlood
         };
-        if setting.scenario == Scenario::HotAccount
-            && let Some((_, without)) = plays.iter().find(is_without)
+        if parameters.scenario == Scenario::HotAccount
+            && let Some((_, baseline)) = runs.iter().find(is_baseline)
         {
-            let kept = seen.others().share() / without.others().share().max(f64::MIN_POSITIVE);
-            let goal = goal(setting, Goal::AtLeast(KEPT_LEAST));
-            report.add(&name(setting, "share that the others keep"), kept, "", goal);
+            let kept = results.others().share() / baseline.others().share().max(f64::MIN_POSITIVE);
+            let goal = goal(parameters, Goal::AtLeast(MIN_KEPT_SHARE));
+            report.add(
+                &figure_name(parameters, "share that the others keep"),
+                kept,
+                "",
+                goal,
+            );
         }
     }
     Ok(report)
 }
 
 fn chains(boxes: usize) -> usize {
-    match boxes < MORE_FROM {
-        true => CHAINS_FEW,
+    match boxes < MANY_BOXES {
+        true => CHAINS_SMALL_FLEET,
         false => CHAINS,
     }
 }
 
-/// The capacity, in requests a second.
-fn measured(report: &mut Report, layout: Layout, boxes: usize, options: &Options) -> f64 {
+/// Measures the capacity of a layout, in requests per second.
+fn measure_capacity(report: &mut Report, layout: Layout, boxes: usize, options: &Options) -> f64 {
     let chains = chains(boxes);
-    let whole = Engines::new(&engines::model(), &engines::entries(layout, chains)).capacity();
-    let setting = Setting {
+    let whole_chains =
+        Engines::new(&engines::model(), &engines::entries(layout, chains)).capacity();
+    let parameters = Parameters {
         scenario: match layout {
-            Layout::Mixed => Scenario::Demand(MEASURED_AT),
+            Layout::Mixed => Scenario::Demand(SATURATING_DEMAND),
             Layout::TwoFast => Scenario::TwoFast,
         },
-        way: Way::Fits,
+        policy: Policy::Fits,
         boxes: 1,
         chains,
-        capacity: whole,
-        shares: Shares::Even,
+        capacity: whole_chains,
+        shares: ShareSplit::Even,
         second_sends: options.second_sends,
         seed: options.seed,
     };
-    let part = Play::new(setting).run().goodput;
+    let goodput = Simulation::new(parameters).run().goodput;
     let name = format!("capacity, {layout:?}, {boxes} boxes");
-    report.add(&name, whole * part, "1/s", Goal::None);
-    report.add(&format!("{name}, of whole chains"), part, "", Goal::None);
-    whole * part
+    report.add(&name, whole_chains * goodput, "1/s", Goal::None);
+    report.add(&format!("{name}, of whole chains"), goodput, "", Goal::None);
+    whole_chains * goodput
 }
 
-/// Plays all, several at the same time.
-fn play_all(settings: &[Setting]) -> Vec<Seen> {
+/// Runs all simulations on `THREADS` threads; results are in the order of `parameter_sets`.
+fn run_all(parameter_sets: &[Parameters]) -> Vec<Results> {
     let next = AtomicUsize::new(0);
-    let seen = Mutex::new(vec![Seen::default(); settings.len()]);
+    let results = Mutex::new(vec![Results::default(); parameter_sets.len()]);
     std::thread::scope(|scope| {
         for _ in 0..THREADS {
             scope.spawn(|| {
                 loop {
                     let number = next.fetch_add(1, Ordering::Relaxed);
-                    let Some(setting) = settings.get(number) else {
+                    let Some(parameters) = parameter_sets.get(number) else {
                         return;
                     };
-                    let played = Play::new(*setting).run();
-                    seen.lock().expect("no play panics with the lock")[number] = played;
+                    let result = Simulation::new(*parameters).run();
+                    results
+                        .lock()
+                        .expect("no simulation panics while holding the lock")[number] = result;
                 }
             });
         }
     });
-    seen.into_inner().expect("no play panics with the lock")
+    results
+        .into_inner()
+        .expect("no simulation panics while holding the lock")
 }
 
-fn name(setting: &Setting, what: &str) -> String {
-    let Setting {
+fn figure_name(parameters: &Parameters, what: &str) -> String {
+    let Parameters {
         scenario,
-        way,
+        policy,
         boxes,
         ..
-    } = setting;
-    format!("{what}, {scenario}, {way}, {boxes} boxes")
+    } = parameters;
+    format!("{what}, {scenario}, {policy}, {boxes} boxes")
 }
 
-/// Goals hold for the shipped way.
-fn goal(setting: &Setting, goal: Goal) -> Goal {
-    match setting.way {
-        Way::Reserve => goal,
+/// Applies a goal to the shipped policy only.
+fn goal(parameters: &Parameters, goal: Goal) -> Goal {
+    match parameters.policy {
+        Policy::Reserve => goal,
         _ => Goal::None,
     }
 }
 
-/// A play in one line.
-fn line(setting: &Setting, seen: &Seen) -> String {
-    let share = [0, 1, 2].map(|rank| format!("{:.3}", seen.rank(rank).share()));
-    let late = [0, 1, 2].map(|rank| format!("{:.3}", seen.rank(rank).late_part()));
+/// Summarizes a simulation in one line.
+fn summary_line(parameters: &Parameters, results: &Results) -> String {
+    let share = [0, 1, 2].map(|rank| format!("{:.3}", results.rank(rank).share()));
+    let late = [0, 1, 2].map(|rank| format!("{:.3}", results.rank(rank).late_fraction()));
     format!(
         "{}: in time {}, late {}, used {:.3}, room {:.3}, refused free {:.4}, sends refused {:.3}, hot {:.3}, others {:.3}",
-        name(setting, "play"),
+        figure_name(parameters, "play"),
         share.join(" "),
         late.join(" "),
-        seen.goodput,
-        seen.room_used,
-        seen.free_part(),
-        seen.sends_refused_part(),
-        seen.account(HOT).share(),
-        seen.others().share(),
+        results.goodput,
+        results.mean_utilization,
+        results.free_refusal_ratio(),
+        results.sends_refused_fraction(),
+        results.account(HOT_ACCOUNT).share(),
+        results.others().share(),
     )
 }
 
-fn add_figures(report: &mut Report, setting: &Setting, seen: &Seen) {
-    let scenario = setting.scenario;
+fn add_figures(report: &mut Report, parameters: &Parameters, results: &Results) {
+    let scenario = parameters.scenario;
     let mut add = |what: &str, value, unit, bound| {
-        report.add(&name(setting, what), value, unit, goal(setting, bound));
+        report.add(
+            &figure_name(parameters, what),
+            value,
+            unit,
+            goal(parameters, bound),
+        );
     };
     let bounded = |is_bounded, bound| if is_bounded { bound } else { Goal::None };
     for rank in 0..RANKS {
-        let counts = seen.rank(rank);
+        let counts = results.rank(rank);
         let is_bounded = rank == 0 && scenario.first_rank_fits();
-        let bound = bounded(is_bounded, Goal::AtLeast(FIRST_LEAST));
+        let bound = bounded(is_bounded, Goal::AtLeast(MIN_FIRST_RANK_SHARE));
         add(&format!("in time, rank {rank}"), counts.share(), "", bound);
         add(
             &format!("late, rank {rank}"),
-            counts.late_part(),
+            counts.late_fraction(),
             "",
             Goal::None,
         );
-        let refused = counts.refused_part();
+        let refused = counts.refused_fraction();
         add(&format!("refused, rank {rank}"), refused, "", Goal::None);
     }
-    let inversion = Goal::AtMost(INVERSION_MOST);
+    let inversion = Goal::AtMost(MAX_INVERSION);
     add(
         "rank below a less urgent one",
-        seen.inversion(),
+        results.inversion(),
         "",
         inversion,
     );
     for (who, counts) in [
-        ("hot account", seen.account(HOT)),
-        ("others", seen.others()),
+        ("hot account", results.account(HOT_ACCOUNT)),
+        ("others", results.others()),
     ] {
         add(&format!("in time, {who}"), counts.share(), "", Goal::None);
-        let refused = counts.refused_part();
+        let refused = counts.refused_fraction();
         add(&format!("refused, {who}"), refused, "", Goal::None);
     }
-    let least = Goal::AtLeast(ACCOUNT_LEAST);
-    add("least account / all", seen.least_account(), "", least);
-    let used = bounded(scenario.exceeds(), Goal::AtLeast(USED_LEAST));
-    add("capacity used in time", seen.goodput, "", used);
-    add("room used", seen.room_used, "", Goal::None);
-    let free = Goal::AtMost(FREE_MOST);
+    let least = Goal::AtLeast(MIN_ACCOUNT_SHARE);
+    add(
+        "least account / all",
+        results.min_account_ratio(),
+        "",
+        least,
+    );
+    let used = bounded(scenario.is_overload(), Goal::AtLeast(MIN_UTILIZATION));
+    add("capacity used in time", results.goodput, "", used);
+    add("room used", results.mean_utilization, "", Goal::None);
+    let free = Goal::AtMost(MAX_FREE_REFUSALS);
     add(
         "refusals while capacity is free",
-        seen.free_part(),
+        results.free_refusal_ratio(),
         "",
         free,
     );
-    if scenario.has_step() {
-        let steady = seen.steady_after(scenario.changes_at());
-        add("until steady", steady, "s", Goal::AtMost(STEADY_MOST));
+    if scenario.has_lasting_change() {
+        let steady = results.settling_time(scenario.changed_at());
+        add("until steady", steady, "s", Goal::AtMost(MAX_SETTLING_S));
     }
-    add("busiest engine / mean", seen.busiest, "", Goal::None);
-    add("sends refused", seen.sends_refused_part(), "", Goal::None);
+    add(
+        "busiest engine / mean",
+        results.max_load_ratio,
+        "",
+        Goal::None,
+    );
+    add(
+        "sends refused",
+        results.sends_refused_fraction(),
+        "",
+        Goal::None,
+    );
     for (who, (bytes, messages)) in [
-        ("a box", seen.box_traffic),
-        ("a collector", seen.collector_traffic),
+        ("a box", results.box_traffic),
+        ("a collector", results.collector_traffic),
     ] {
         add(&format!("bytes, {who}"), bytes, "B/s", Goal::None);
         add(&format!("messages, {who}"), messages, "1/s", Goal::None);
--- a/reachtally-bench/src/admission/engines.rs
+++ b/reachtally-bench/src/admission/engines.rs
@@ -1,4 +1,4 @@
-//! Engines that batch: the first of a path queues what its KV has no room for, later ones refuse it.
+//! Batching engines. The first engine of a path queues requests that do not fit its KV; later ones refuse them.
 
 use std::collections::BTreeSet;
 
@@ -7,30 +7,30 @@
 
 use crate::choice::engines::{self, HOP_US, Load, SERVICE, STAGES, Times};
 
-/// Failure domains.
+/// Number of failure domains.
 pub const DOMAINS: usize = 3;
-/// Requests that wait at an engine, at most.
-const MOST_WAITING: usize = 96;
-/// Kinds of card, ten times apart.
+/// Maximum queue length of an engine.
+const MAX_QUEUED: usize = 96;
+/// Names of the two card types; the slow one takes ten times as long.
 pub const FAST: &str = "fast";
 const SLOW: &str = "slow";
-/// In each failure domain one chain of this many has fast cards.
-const FAST_OF: usize = 4;
-/// Rounds in which the time of a token and the rate of requests that follows from it are found.
-const ROUNDS: usize = 30;
-/// Time constant of the rate at which an engine begins requests, in s.
-const RATE_TIME: f64 = 1.0;
+/// One of this many chains in a failure domain has fast cards.
+const FAST_CHAIN_INTERVAL: usize = 4;
+/// Iterations of the fixed point between token time and request rate.
+const FIXED_POINT_ITERATIONS: usize = 30;
+/// Time constant of the moving rate at which an engine starts requests, in s.
+const RATE_TIME_CONSTANT_S: f64 = 1.0;
 
-/// Which engines there are.
+/// Card types of the engines.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Layout {
-    /// One chain of four is fast.
+    /// One chain of four has fast cards.
     Mixed,
-    /// All are slow but two, which are stages of one chain.
+    /// All engines are slow except two stages of one chain.
     TwoFast,
 }
 
-/// The model that is served.
+/// The served model, with the two card types.
 pub fn model() -> LayerModel {
     let mut model = engines::model();
     let card = |step_factor, read_factor| Card {
@@ -44,13 +44,13 @@
     model
 }
 
-/// Entries of all engines; those of a chain follow each other.
+/// Table entries of all engines; those of a chain are adjacent.
 pub fn entries(layout: Layout, chains: usize) -> Vec<Entry> {
     let layers = model().layers / STAGES as u32;
     let entry = |number: usize| {
         let (chain, stage) = (number / STAGES % chains, number % STAGES);
         let is_fast = match layout {
-            Layout::Mixed => chain.is_multiple_of(FAST_OF),
+            Layout::Mixed => chain.is_multiple_of(FAST_CHAIN_INTERVAL),
             Layout::TwoFast => number < 2,
         };
         let from = stage as u32 * layers;
@@ -72,42 +72,42 @@
 #[derive(Debug, Clone)]
 struct Engine {
     card: Card,
-    /// KV tokens that it holds, and those in use.
-    room: f64,
+    /// KV capacity and use, in tokens.
+    kv_capacity: f64,
     held: f64,
     running: u32,
-    /// Until when it reads the prompts that it has, in µs.
-    reading_until: u64,
-    /// Requests begun a second, and when that was counted, in µs.
+    /// Time in µs at which it has prefilled all of its prompts.
+    prefill_until: u64,
+    /// Moving rate of started requests per second, and the time of its last update in µs.
     rate: (f64, u64),
-    /// Requests that wait for room, the most urgent first, by rank and number.
-    waiting: BTreeSet<(u8, usize)>,
+    /// Requests queued for KV, by rank and number; the most urgent come first.
+    queued: BTreeSet<(u8, usize)>,
     begun: u64,
-    /// Requests a second that it can run within the objectives.
+    /// Requests per second that its chain runs with its KV in full use.
     capacity: f64,
 }
 
-/// A request as engines see it.
+/// A request on its path.
 #[derive(Debug, Clone)]
 pub struct Job {
-    /// Its number; lower ones came earlier.
+    /// Request number, in order of arrival.
     pub number: usize,
-    /// The engines of its path.
+    /// Engines of the path.
     pub path: Vec<usize>,
-    /// Its size.
+    /// Prompt and answer length.
     pub load: Load,
-    /// Its priority, 0 for the most urgent.
+    /// Rank, 0 for the most urgent.
     pub rank: u8,
 }
 
-/// What became of a send.
+/// Result of a send.
 #[derive(Debug, Clone, Copy)]
-pub enum Sent {
-    /// It runs.
+pub enum SendResult {
+    /// The request runs.
     Begun(Times),
-    /// It waits at the first engine.
-    Waits,
-    /// This engine refused it.
+    /// The request is queued at the first engine of the path.
+    Queued,
+    /// This engine refused the request.
     Refused(usize),
 }
 
@@ -116,24 +116,24 @@
     model: LayerModel,
     layers: u32,
     all: Vec<Engine>,
-    /// Factor on the time of token steps and prompts.
-    pub pace: f64,
+    /// Slowdown factor of token steps and prefill.
+    pub slowdown: f64,
 }
 
 impl Engines {
-    /// Engines without requests.
+    /// Creates idle engines.
     pub fn new(model: &LayerModel, entries: &[Entry]) -> Self {
         let layers = model.layers / STAGES as u32;
         let engine = |entry: &Entry| {
             let card = model.cards[&**entry.card.as_ref().expect("each engine has a card")];
             Engine {
                 card,
-                room: model.kv_tokens(&card, layers),
+                kv_capacity: model.kv_tokens(&card, layers),
                 held: 0.0,
                 running: 0,
-                reading_until: 0,
+                prefill_until: 0,
                 rate: (0.0, 0),
-                waiting: BTreeSet::new(),
+                queued: BTreeSet::new(),
                 begun: 0,
                 capacity: 0.0,
             }
@@ -142,7 +142,7 @@
             model: model.clone(),
             layers,
             all: entries.iter().map(engine).collect(),
-            pace: 1.0,
+            slowdown: 1.0,
         };
         for first in (0..engines.all.len()).step_by(STAGES) {
             let capacity = engines.chain_capacity(first);
@@ -153,25 +153,25 @@
         engines
     }
 
-    /// Requests a second that the chain which begins at engine `first` runs with all of its room in use.
+    /// Requests per second that the chain starting at engine `first` runs with its KV in full use.
     fn chain_capacity(&self, first: usize) -> f64 {
         let chain = &self.all[first..first + STAGES];
-        let room = chain.iter().map(|engine| engine.room);
-        let batch = room.fold(f64::INFINITY, f64::min) / self.model.mean_context_tokens();
+        let kv_capacity = chain.iter().map(|engine| engine.kv_capacity);
+        let batch = kv_capacity.fold(f64::INFINITY, f64::min) / self.model.mean_context_tokens();
         let mut rate = 0.0;
-        for _ in 0..ROUNDS {
+        for _ in 0..FIXED_POINT_ITERATIONS {
             let token = |engine: &Engine| self.token_ms(engine, batch, rate);
             let token_ms: f64 = chain.iter().map(token).sum();
             let read = |engine: &Engine| self.prefill_ms(engine, self.model.mean_prompt_tokens);
             let prefill_ms: f64 = chain.iter().map(read).sum();
             let held_ms = prefill_ms + token_ms * self.model.mean_answer_tokens;
-            // Half of the step, so that the rounds converge.
+            // Damped by half for convergence.
             rate = (rate + batch * 1000.0 / held_ms) / 2.0;
         }
         rate
     }
 
-    /// Requests a second that all engines run with all of their room in use, if each request keeps to one chain.
+    /// Requests per second that all engines run with their KV in full use, if each request stays on one chain.
     pub fn capacity(&self) -> f64 {
         let firsts = self.all.iter().step_by(STAGES);
         firsts.map(|engine| engine.capacity).sum()
@@ -182,40 +182,40 @@
         let batch = running * model.layer_fraction(self.layers) + 1.0;
         let slowdown = model.prefill_slowdown(&engine.card, self.layers, rate);
         let step_ms = model.step_ms(&engine.card, self.layers, batch);
-        step_ms * WAIT_FACTOR * slowdown * self.pace + HOP_US as f64 / 1000.0
+        step_ms * WAIT_FACTOR * slowdown * self.slowdown + HOP_US as f64 / 1000.0
     }
 
     fn prefill_ms(&self, engine: &Engine, tokens: f64) -> f64 {
-        self.model.prefill_ms(&engine.card, self.layers, tokens) * self.pace
+        self.model.prefill_ms(&engine.card, self.layers, tokens) * self.slowdown
     }
 
-    /// Whether an engine has room for a request beside those that run.
-    fn has_room(&self, number: usize, load: Load) -> bool {
+    /// Whether a request fits the free KV of an engine.
+    fn fits(&self, number: usize, load: Load) -> bool {
         let engine = &self.all[number];
-        engine.held + load.held() <= engine.room
+        engine.held + load.held() <= engine.kv_capacity
     }
 
-    /// A request reaches the first engine of its path.
-    pub fn send(&mut self, job: &Job, now: u64) -> Sent {
+    /// Sends a request to the first engine of its path.
+    pub fn send(&mut self, job: &Job, now: u64) -> SendResult {
         let first = job.path[0];
         let engine = &mut self.all[first];
-        let place = (job.rank, job.number);
-        let is_behind = engine.waiting.first().is_some_and(|head| *head < place);
-        if !is_behind && engine.held + job.load.held() <= engine.room {
+        let key = (job.rank, job.number);
+        let is_behind = engine.queued.first().is_some_and(|head| *head < key);
+        if !is_behind && engine.held + job.load.held() <= engine.kv_capacity {
             return self.begin(job, now);
         }
-        if engine.waiting.len() >= MOST_WAITING {
-            return Sent::Refused(first);
+        if engine.queued.len() >= MAX_QUEUED {
+            return SendResult::Refused(first);
         }
-        engine.waiting.insert(place);
-        Sent::Waits
+        engine.queued.insert(key);
+        SendResult::Queued
     }
 
-    /// Begins a request that its first engine has room for.
-    fn begin(&mut self, job: &Job, now: u64) -> Sent {
-        let full = |number: &&usize| !self.has_room(**number, job.load);
+    /// Starts a request that fits its first engine; a later engine may still refuse it.
+    fn begin(&mut self, job: &Job, now: u64) -> SendResult {
+        let full = |number: &&usize| !self.fits(**number, job.load);
         if let Some(full) = job.path.iter().find(full) {
-            return Sent::Refused(*full);
+            return SendResult::Refused(*full);
         }
         let mut at = now;
         let mut token_ms = 0.0;
@@ -225,48 +225,49 @@
             engine.running += 1;
             engine.held += job.load.held();
             let passed = (now - engine.rate.1) as f64 / 1e6;
-            let rate = engine.rate.0 * (-passed / RATE_TIME).exp() + 1.0 / RATE_TIME;
+            let rate =
+                engine.rate.0 * (-passed / RATE_TIME_CONSTANT_S).exp() + 1.0 / RATE_TIME_CONSTANT_S;
             engine.rate = (rate, now);
             let engine = &self.all[*number];
             let read_us = self.prefill_ms(engine, job.load.prompt) * 1000.0;
             token_ms += self.token_ms(engine, f64::from(engine.running), rate);
-            at = engine.reading_until.max(at + HOP_US) + read_us as u64;
-            self.all[*number].reading_until = at;
+            at = engine.prefill_until.max(at + HOP_US) + read_us as u64;
+            self.all[*number].prefill_until = at;
         }
         let token_us = token_ms * 1000.0;
-        Sent::Begun(Times {
+        SendResult::Begun(Times {
             first: at + token_us as u64,
             end: at + (token_us * job.load.answer) as u64,
         })
     }
 
-    /// The request that an engine takes from its queue next, if it has room for it.
+    /// Removes the next request from an engine's queue, if it fits the free KV.
     pub fn next(&mut self, number: usize, load_of: impl Fn(usize) -> Load) -> Option<usize> {
-        let (_, request) = *self.all[number].waiting.first()?;
-        if !self.has_room(number, load_of(request)) {
+        let (_, request) = *self.all[number].queued.first()?;
+        if !self.fits(number, load_of(request)) {
             return None;
         }
-        self.all[number].waiting.pop_first();
+        self.all[number].queued.pop_first();
         Some(request)
     }
 
-    /// Begins a request that an engine took from its queue.
-    pub fn take(&mut self, job: &Job, now: u64) -> Sent {
+    /// Starts a request that [`Engines::next`] returned.
+    pub fn take(&mut self, job: &Job, now: u64) -> SendResult {
         self.begin(job, now)
     }
 
-    /// Removes a request whose caller has left, if it waits.
+    /// Removes a request whose caller gave up from its engine's queue. Returns whether it was queued.
     pub fn leave(&mut self, job: &Job) -> bool {
-        let waiting = &mut self.all[job.path[0]].waiting;
-        waiting.remove(&(job.rank, job.number))
+        let queued = &mut self.all[job.path[0]].queued;
+        queued.remove(&(job.rank, job.number))
     }
 
-    /// KV tokens that all engines hold.
-    pub fn room(&self) -> f64 {
-        self.all.iter().map(|engine| engine.room).sum()
+    /// KV capacity of all engines, in tokens.
+    pub fn kv_capacity(&self) -> f64 {
+        self.all.iter().map(|engine| engine.kv_capacity).sum()
     }
 
-    /// A request that ran has ended.
+    /// Releases the KV of a request that ended.
     pub fn end(&mut self, job: &Job) {
         for number in &job.path {
             let engine = &mut self.all[*number];
@@ -275,23 +276,23 @@
         }
     }
 
-    /// Part of the room of all engines that is in use.
-    pub fn used(&self) -> f64 {
+    /// Fraction of the KV capacity of all engines in use.
+    pub fn utilization(&self) -> f64 {
         let held: f64 = self.all.iter().map(|engine| engine.held).sum();
-        held / self.room()
+        held / self.kv_capacity()
     }
 
-    /// The part in use by the fullest engine of the emptiest path, over the failure domains for which `is_reached`
-    /// holds. A first engine where requests wait counts as full.
-    pub fn least_used(&self, is_reached: impl Fn(usize) -> bool) -> f64 {
-        let used = |engine: &Engine| match engine.waiting.is_empty() {
-            true => engine.held / engine.room,
+    /// Utilization of the least loaded path in the failure domains for which `is_reached` holds, where the utilization of a path is
+    /// that of its fullest engine. An engine with a queue counts as full.
+    pub fn min_path_utilization(&self, is_reached: impl Fn(usize) -> bool) -> f64 {
+        let utilization = |engine: &Engine| match engine.queued.is_empty() {
+            true => engine.held / engine.kv_capacity,
             false => 1.0,
         };
         let of_domain = |engines: &[Engine]| {
             let of_stage = |stage| {
                 let stage = engines.iter().skip(stage).step_by(STAGES);
-                stage.map(used).fold(1.0, f64::min)
+                stage.map(utilization).fold(1.0, f64::min)
             };
             (0..STAGES).map(of_stage).fold(0.0, f64::max)
         };
@@ -302,17 +303,17 @@
             .fold(1.0, f64::min)
     }
 
-    /// Requests begun at the busiest engine, in those that it can run in time, against the same of all engines.
-    pub fn busiest(&self) -> f64 {
+    /// Largest ratio over all engines of requests started to capacity, relative to the ratio of all engines together.
+    pub fn max_load_ratio(&self) -> f64 {
         let begun: u64 = self.all.iter().map(|engine| engine.begun).sum();
         let capacity: f64 = self.all.iter().map(|engine| engine.capacity).sum();
         let mean = begun.max(1) as f64 / capacity;
-        let part = |engine: &Engine| engine.begun as f64 / engine.capacity / mean;
-        self.all.iter().map(part).fold(0.0, f64::max)
+        let relative_load = |engine: &Engine| engine.begun as f64 / engine.capacity / mean;
+        self.all.iter().map(relative_load).fold(0.0, f64::max)
     }
 
-    /// Forgets what was begun so far.
-    pub fn begin_to_count(&mut self) {
+    /// Resets the counts of started requests.
+    pub fn start_measurement(&mut self) {
         for engine in &mut self.all {
             engine.begun = 0;
         }
--- a/reachtally-bench/src/admission/ways.rs
+++ b/reachtally-bench/src/admission/ways.rs
@@ -1,4 +1,4 @@
-//! Ways to admit requests, and what each box keeps for them.
+//! Admission policies and the per-box state that they need.
 
 use std::time::Duration;
 
@@ -12,81 +12,81 @@
 use super::scenario::{OBJECTIVES_US, RANKS};
 use crate::choice::engines::SERVICE;
 
-/// Requests that wait in a box, at most, as the relay has it. Their bodies do not count here.
+/// Bounds of a box's queue, as in the relay. The simulation has no bodies, so their bytes are unbounded.
 const QUEUE_BOUNDS: Bounds = Bounds {
     count: 64,
     bytes: usize::MAX,
 };
-/// Time that a request is assumed to run before one has ended, and weight of each in the running mean, as the relay has them.
-const HELD_ASSUMED: f64 = 3.0;
-const HELD_WEIGHT: f64 = 0.03;
-/// `Retry-After` of refusals without a schedule.
-const RETRY: Duration = Duration::from_secs(1);
-/// Part of the engines' room that admission probabilities aim at.
-const TARGET: f64 = 0.95;
-/// Time in which they close the gap to it, in s: two reports and two answers.
-const CLOSE: f64 = 1.0;
-
-/// Classes: the ranks, then requests beyond their account's share.
+/// Initial estimate of a request's duration in s, and the weight of a sample in its moving average; both as in the relay.
+const INITIAL_DURATION_S: f64 = 3.0;
+const DURATION_WEIGHT: f64 = 0.03;
+/// `Retry-After` of refusals that no retry schedule covers.
+const DEFAULT_RETRY_AFTER: Duration = Duration::from_secs(1);
+/// Target utilization of the engines' KV capacity for admission probabilities.
+const TARGET_UTILIZATION: f64 = 0.95;
+/// Time in s over which the probabilities correct a deviation from the target: two reports and two answers.
+const CORRECTION_TIME_S: f64 = 1.0;
+
+/// Number of classes: one per rank, and one for requests beyond their account's share.
 pub const CLASSES: usize = RANKS + 1;
 
-/// How requests are admitted.
+/// An admission policy.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Way {
-    /// All are sent: today's choice alone.
+pub enum Policy {
+    /// Sends every request; path selection alone.
     None,
-    /// Each box reserves room for more urgent ranks.
+    /// Each box reserves capacity for more urgent ranks; the shipped policy.
     Reserve,
-    /// Collectors compute a probability for each rank.
+    /// Collectors compute an admission probability for each rank.
     Probability,
-    /// What fits is sent, whatever its rank, and the rest is dropped: with one box, which knows all, what the choice makes of
-    /// the engines at most.
+    /// Sends every request that fits, whatever its rank, and drops the rest. With a single box, which has complete
+    /// knowledge, this is the most that path selection gets out of the engines.
     Fits,
 }
 
-impl Way {
-    /// The ways that are compared.
-    pub const ALL: [Way; 3] = [Way::None, Way::Reserve, Way::Probability];
+impl Policy {
+    /// The policies to compare.
+    pub const ALL: [Policy; 3] = [Policy::None, Policy::Reserve, Policy::Probability];
 }
 
-impl std::fmt::Display for Way {
+impl std::fmt::Display for Policy {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         f.write_str(match self {
-            Way::None => "none",
-            Way::Reserve => "reserve",
-            Way::Probability => "probability",
-            Way::Fits => "fits",
+            Policy::None => "none",
+            Policy::Reserve => "reserve",
+            Policy::Probability => "probability",
+            Policy::Fits => "fits",
         })
     }
 }
 
-/// What a box keeps for admission.
-pub struct Entrance {
-    /// Mean duration of requests, in s.
-    held: f64,
-    /// Recent requests by class.
+/// Admission state of one box.
+pub struct AdmissionState {
+    /// Moving average of request durations, in s.
+    mean_duration_s: f64,
+    /// Recent requests per class.
     pub mix: Mix,
-    /// The rate at which it admits near the limit.
+    /// Limits the admission rate near saturation.
     pub pacer: Pacer,
-    /// How far the room of paths is booked.
+    /// How far paths may be overbooked.
     pub booking: OverbookingLimit,
-    /// Return times of refused requests.
+    /// Retry times given to refused requests.
     schedule: RetrySchedule,
-    /// Requests that wait, by number.
+    /// Waiting requests, by request number.
     pub queue: Queue<usize>,
-    /// Second sends.
+    /// Budget of repeated sends, shared by all boxes.
     pub budget: SharedRetryBudget,
-    /// Requests by rank since the last report.
+    /// Requests per class since the last report.
     pub offered: [f64; CLASSES],
-    /// Admission probability by rank, as last told.
+    /// Admission probability per class, as last received.
     pub probability: [f64; CLASSES],
 }
 
-impl Entrance {
-    /// A box that has just started.
+impl AdmissionState {
+    /// Creates the state of a box that has just started.
     pub fn new() -> Self {
-        Entrance {
-            held: HELD_ASSUMED,
+        AdmissionState {
+            mean_duration_s: INITIAL_DURATION_S,
             mix: Mix::default(),
             pacer: Pacer::default(),
             booking: OverbookingLimit::default(),
@@ -98,42 +98,52 @@
         }
     }
 
-    /// Mean duration of requests.
-    pub fn held(&self) -> Duration {
-        Duration::from_secs_f64(self.held)
+    /// Moving average of request durations.
+    pub fn mean_duration(&self) -> Duration {
+        Duration::from_secs_f64(self.mean_duration_s)
     }
 
-    /// Notes how long a request ran.
-    pub fn note_held(&mut self, us: u64) {
-        self.held += HELD_WEIGHT * (us as f64 / 1e6 - self.held);
+    /// Adds the duration of a request to the moving average.
+    pub fn record_duration(&mut self, us: u64) {
+        self.mean_duration_s += DURATION_WEIGHT * (us as f64 / 1e6 - self.mean_duration_s);
     }
 
-    /// What to do with a request.
-    pub fn decide(&mut self, way: Way, class: Class, offer: Option<Offer>, case: &Case) -> Verdict {
-        let refuse = Verdict::Refuse(Retry { after: RETRY });
-        let objective = Duration::from_micros(OBJECTIVES_US[case.rank]);
-        match way {
-            Way::None => offer.map_or(refuse, |_| Verdict::Admit),
-            Way::Fits => match offer.is_some_and(|offer| offer.used <= 1.0) {
+    /// Decides whether to admit, queue or refuse a request.
+    pub fn decide(
+        &mut self,
+        policy: Policy,
+        class: Class,
+        offer: Option<Offer>,
+        inputs: &DecisionInputs,
+    ) -> Verdict {
+        let refuse = Verdict::Refuse(Retry {
+            after: DEFAULT_RETRY_AFTER,
+        });
+        let objective = Duration::from_micros(OBJECTIVES_US[inputs.rank]);
+        match policy {
+            Policy::None => offer.map_or(refuse, |_| Verdict::Admit),
+            Policy::Fits => match offer.is_some_and(|offer| offer.used <= 1.0) {
                 true => Verdict::Admit,
                 false => refuse,
             },
-            Way::Reserve => {
+            Policy::Reserve => {
                 let used = offer.map_or(f64::INFINITY, |offer| offer.used);
                 let position = class.position(RANKS);
                 let cx = Conditions {
-                    held: self.held(),
+                    held: self.mean_duration(),
                     reaction: REACTION,
                     mix: &self.mix.fractions(),
                     objective,
-                    waited: case.waited,
-                    pace: self.pacer.look(used, case.running, REACTION, case.now),
-                    ahead: self.queue.ahead(SERVICE, position, case.place.as_ref()),
+                    waited: inputs.waited,
+                    pace: self.pacer.look(used, inputs.running, REACTION, inputs.now),
+                    ahead: self
+                        .queue
+                        .ahead(SERVICE, position, inputs.queue_position.as_ref()),
                 };
                 admit(class, offer, &cx)
             }
-            Way::Probability => {
-                let is_drawn = case.draw < self.probability[class.position(RANKS)];
+            Policy::Probability => {
+                let is_drawn = inputs.draw < self.probability[class.position(RANKS)];
                 let is_in_time = offer.is_some_and(|offer| offer.first <= objective);
                 match is_drawn && is_in_time {
                     true => Verdict::Admit,
@@ -143,8 +153,8 @@
         }
     }
 
-    /// Time until a refused caller that leaves after `left` may return.
-    pub fn return_after(
+    /// Returns the time after which a refused caller may retry; the caller gives up after `left`.
+    pub fn retry_after(
         &mut self,
         drain: Duration,
         left: Duration,
@@ -156,42 +166,44 @@
     }
 }
 
-/// What a request brings to a decision beside its class and offer.
+/// The inputs of an admission decision beside class and offer.
 #[derive(Debug, Clone, Copy)]
-pub struct Case {
-    /// Its own rank, whatever class it is judged as.
+pub struct DecisionInputs {
+    /// Rank of the request, which its class may differ from.
     pub rank: usize,
-    /// The time, and that since it came.
+    /// Current time.
     pub now: Instant,
-    /// See there.
+    /// Time since the request arrived.
     pub waited: Duration,
-    /// Its place if it waits.
-    pub place: Option<QueuePosition>,
-    /// Requests on the engines, as its box believes.
+    /// Queue position of a waiting request.
+    pub queue_position: Option<QueuePosition>,
+    /// Requests on the engines, as known to its box.
     pub running: Running,
-    /// A number from 0 to 1.
+    /// Random number from 0 to 1, drawn once for each request.
     pub draw: f64,
 }
 
-/// Computes admission probabilities in a collector.
+/// Computes the admission probabilities in a collector.
 #[derive(Debug, Clone, Default)]
 pub struct Controller {
-    /// Requests a second by rank that each box offers, by its number, as last told.
+    /// Offered requests per second and class of each box, by box number, as last received.
     pub boxes: std::collections::BTreeMap<usize, [f64; CLASSES]>,
-    /// The same of the other failure domains.
+    /// Offered requests per second and class of each other failure domain, as last received.
     pub peers: std::collections::BTreeMap<usize, [f64; CLASSES]>,
 }
 
 impl Controller {
-    /// Requests a second by rank of the boxes that report here.
+    /// Offered requests per second and class of all boxes that report to this collector.
     pub fn own(&self) -> [f64; CLASSES] {
         sum(self.boxes.values())
     }
 
-    /// Probability by rank, the most urgent first: as many requests as end, and those that fill the room up to the target, of which
-    /// `used` is in use and all of which holds `most` requests.
-    pub fn probability(&self, used: f64, most: f64, held: f64) -> [f64; CLASSES] {
-        let rate = used.min(1.0) * most / held + (TARGET - used) * most / CLOSE;
+    /// Returns the admission probability per class. The admitted rate replaces the requests that end and moves the utilization
+    /// from `used` to the target; classes get it in order of urgency. `capacity` is the number of requests that the engines
+    /// hold, `duration_s` the mean duration of a request.
+    pub fn probability(&self, used: f64, capacity: f64, duration_s: f64) -> [f64; CLASSES] {
+        let rate = used.min(1.0) * capacity / duration_s
+            + (TARGET_UTILIZATION - used) * capacity / CORRECTION_TIME_S;
         let mut left = rate.max(0.0);
         let offered = sum([self.own(), sum(self.peers.values())].iter());
         offered.map(|offered| {
