--- a/reachtally-bench/src/limits.rs
+++ b/reachtally-bench/src/limits.rs
@@ -1,7 +1,7 @@
-//! A rate limit that holds for all boxes together: how well it is kept and used, by ways to share it.
+//! Measures how well a rate limit that all boxes share is enforced and used, for several ways of sharing it.
 //!
-//! The shipped permits and messages on a virtual clock, beside two simpler ways. Boxes report to the first box of their failure
-//! domain; datagrams take a moment and may be lost.
+//! Runs the production permits and messages on a virtual clock, and compares them with two simpler policies. Boxes report to the
+//! first box of their failure domain; datagrams are delayed and may be lost.
 
 mod box_state;
 mod play;
@@ -10,99 +10,99 @@
 use bpaf::Bpaf;
 
 use crate::report::{Goal, Report};
-use play::{Demand, Play, Seen, Setting, Trouble, Way};
+use play::{Demand, Fault, Parameters, Policy, Results, Simulation};
 
-/// Numbers of boxes.
-const BOXES: [usize; 4] = [8, 64, 295, 2500];
-/// Most boxes for the ways that are not shipped.
-const MOST_BOXES_OF_OTHERS: usize = 295;
-/// Limits, in requests a second.
+/// Fleet sizes to simulate, in boxes.
+const BOX_COUNTS: [usize; 4] = [8, 64, 295, 2500];
+/// Largest fleet for the policies that are not shipped.
+const MAX_BOXES_UNSHIPPED: usize = 295;
+/// Rate limits, in requests per second.
 const LIMITS: [f64; 3] = [0.3, 3.0, 30.0];
-/// Largest part of the limit that any 20 s may have on average.
-const MEAN_PART: f64 = 1.05;
-/// Least part of the limit that is used under even demand, and under demand at one box.
-const USED_EVEN: f64 = 0.95;
-const USED_AT_ONE_BOX: f64 = 0.85;
-/// Limit from which the goals for its use hold, in requests a second.
-const USED_FROM: f64 = 3.0;
-/// Longest time until all boxes keep a limit, in ms.
-const KNOWN_WITHIN_MS: f64 = 1000.0;
+/// Largest allowed mean rate over any 20 s, relative to the limit.
+const MAX_MEAN_RATIO: f64 = 1.05;
+/// Smallest allowed utilization of the limit under even demand, and with all demand at one box.
+const MIN_UTILIZATION_EVEN: f64 = 0.95;
+const MIN_UTILIZATION_ONE_BOX: f64 = 0.85;
+/// Smallest limit to which the utilization goals apply, in requests per second.
+const UTILIZATION_GOAL_FROM: f64 = 3.0;
+/// Longest allowed time until all boxes know the limit, in ms.
+const MAX_PROPAGATION_MS: f64 = 1000.0;
 
-/// What is played.
+/// Command-line options of the experiment.
 #[derive(Debug, Clone, Bpaf)]
 pub struct Options {
-    /// Plays of each kind, each with another seed
+    /// Simulations of each kind, each with a different seed
     #[bpaf(argument("N"), fallback(3))]
     plays: u64,
-    /// Part of the datagrams that are lost
+    /// Fraction of the datagrams that are lost
     #[bpaf(argument("PART"), fallback(0.02))]
     loss: f64,
-    /// Largest number of boxes
+    /// Largest number of boxes to simulate
     #[bpaf(argument("N"), fallback(2500))]
     most_boxes: usize,
 }
 
-/// Run the experiment.
+/// Runs the experiment.
 pub fn run(options: &Options) -> Result<Report, String> {
     if !(0.0..1.0).contains(&options.loss) {
-        return Err("the part of the datagrams that are lost is from 0 to below 1".to_owned());
+        return Err("the fraction of lost datagrams must be at least 0 and below 1".to_owned());
     }
     let mut report = Report::default();
-    for way in [Way::Even, Way::Demand, Way::Permits] {
-        let most = match way {
-            Way::Permits => options.most_boxes,
-            Way::Even | Way::Demand => options.most_boxes.min(MOST_BOXES_OF_OTHERS),
+    for policy in [Policy::Even, Policy::Demand, Policy::Permits] {
+        let max_boxes = match policy {
+            Policy::Permits => options.most_boxes,
+            Policy::Even | Policy::Demand => options.most_boxes.min(MAX_BOXES_UNSHIPPED),
         };
-        for boxes in BOXES.into_iter().filter(|boxes| *boxes <= most) {
+        for boxes in BOX_COUNTS.into_iter().filter(|boxes| *boxes <= max_boxes) {
             for limit in LIMITS {
-                add_figures(&mut report, way, boxes, limit, options);
+                add_figures(&mut report, policy, boxes, limit, options);
             }
         }
     }
     Ok(report)
 }
 
-/// Kinds of plays.
-const PLAYS: [(Demand, Trouble); 8] = [
-    (Demand::Even, Trouble::None),
-    (Demand::OneDomain, Trouble::None),
-    (Demand::OneBox, Trouble::None),
-    (Demand::Jumping, Trouble::None),
-    (Demand::Even, Trouble::AllStart),
-    (Demand::Jumping, Trouble::DomainCut),
-    (Demand::Even, Trouble::Suspended),
-    (Demand::Even, Trouble::Falls),
+/// Combinations of demand and fault to simulate.
+const SCENARIOS: [(Demand, Fault); 8] = [
+    (Demand::Even, Fault::None),
+    (Demand::OneDomain, Fault::None),
+    (Demand::OneBox, Fault::None),
+    (Demand::Jumping, Fault::None),
+    (Demand::Even, Fault::AllStart),
+    (Demand::Jumping, Fault::DomainPartitioned),
+    (Demand::Even, Fault::Suspended),
+    (Demand::Even, Fault::LimitDrops),
 ];
 
-fn add_figures(report: &mut Report, way: Way, boxes: usize, limit: f64, options: &Options) {
-    let play = |demand, trouble| {
-        let mut sum = Seen::default();
+fn add_figures(report: &mut Report, policy: Policy, boxes: usize, limit: f64, options: &Options) {
+    let simulate = |demand, fault| {
+        let mut merged = Results::default();
         for seed in 0..options.plays {
-            let setting = Setting {
-                way,
+            let parameters = Parameters {
+                policy,
                 boxes,
                 limit,
                 demand,
-                trouble,
+                fault,
                 loss: options.loss,
                 seed,
             };
-            sum.add(&Play::new(setting).run());
+            merged.add(&Simulation::new(parameters).run());
         }
-        sum
+        merged
     };
-    let seen: Vec<Seen> = PLAYS
+    let results: Vec<Results> = SCENARIOS
         .iter()
-        .map(|(demand, trouble)| play(*demand, *trouble))
+        .map(|(demand, fault)| simulate(*demand, *fault))
         .collect();
-    let mut all = Seen::default();
-    seen.iter().for_each(|seen| all.add(seen));
-    let name = |what: &str| format!("{what}, {way:?}, {boxes} boxes, {limit} a second");
-    let goal = |goal| match way {
-        Way::Permits => goal,
-        Way::Even | Way::Demand => Goal::None,
+    let mut all = Results::default();
+    results.iter().for_each(|results| all.add(results));
+    let name = |what: &str| format!("{what}, {policy:?}, {boxes} boxes, {limit} a second");
+    let goal = |goal| match policy {
+        Policy::Permits => goal,
+        Policy::Even | Policy::Demand => Goal::None,
     };
-    let used_goal = |least| match limit >= USED_FROM {
+    let utilization_goal = |least| match limit >= UTILIZATION_GOAL_FROM {
         true => goal(Goal::AtLeast(least)),
         false => Goal::None,
     };
@@ -110,13 +110,13 @@
     let window = goal(Goal::AtMost(1.0));
     add(
         "worst window, boxes told",
-        all.told_window,
+        all.informed_window,
         "of what is allowed",
         window,
     );
     add(
         "worst window, boxes that know",
-        all.any_window,
+        all.worst_window,
         "of what is allowed",
         window,
     );
@@ -124,25 +124,25 @@
         "worst 20 s",
         all.long_window,
         "of the limit",
-        goal(Goal::AtMost(MEAN_PART)),
+        goal(Goal::AtMost(MAX_MEAN_RATIO)),
     );
     add(
         "used, even demand",
-        seen[0].used(),
+        results[0].utilization(),
         "of the limit",
-        used_goal(USED_EVEN),
+        utilization_goal(MIN_UTILIZATION_EVEN),
     );
     add(
         "used, demand at one box",
-        seen[2].used(),
+        results[2].utilization(),
         "of the limit",
-        used_goal(USED_AT_ONE_BOX),
+        utilization_goal(MIN_UTILIZATION_ONE_BOX),
     );
     add(
         "until all boxes know",
-        all.known_ms,
+        all.propagation_ms,
         "ms",
-        goal(Goal::AtMost(KNOWN_WITHIN_MS)),
+        goal(Goal::AtMost(MAX_PROPAGATION_MS)),
     );
     add("a box sends and gets", all.box_bytes, "bytes/s", Goal::None);
     add(
--- a/reachtally-bench/src/limits/box_state.rs
+++ b/reachtally-bench/src/limits/box_state.rs
@@ -1,4 +1,4 @@
-//! What one box knows, and what it may send.
+//! State of one box: the limit that it knows, and the permits that it holds.
 
 use std::sync::Arc;
 
@@ -10,35 +10,35 @@
 };
 use reachtally_core::ids::Incarnation;
 
-use super::play::Way;
+use super::play::Policy;
 
-/// The service of the target.
+/// Service of the target.
 pub const SERVICE: &str = "pool";
-/// The target.
+/// Id of the target.
 const TARGET: &str = "i-0123456789";
 
-/// A box.
+/// A simulated box.
 pub struct BoxState {
-    /// Its run.
+    /// Incarnation of the box.
     pub run: Incarnation,
-    /// Its table of targets, which holds the one with the limit.
+    /// Target table, which holds the target with the limit.
     pub fleet: Fleet,
-    /// What its callers ask for.
+    /// Recent demand of its callers.
     pub demand: Demand,
-    /// Issues permits, if it collects.
+    /// Issues permits if the box is a collector.
     pub allocator: Allocator,
-    /// Number of its last request for permits.
+    /// Number of the last permit request.
     pub number: u64,
-    /// When the target first named its limit to it, in µs.
-    pub told_us: Option<u64>,
-    /// Until when it is suspended, in µs.
+    /// Time in µs at which an answer of the target first stated the limit.
+    pub limit_stated_us: Option<u64>,
+    /// Time in µs until which the box is suspended.
     pub suspended_until: u64,
-    /// Tokens of the ways without permits, and when they were counted.
+    /// Token bucket of the policies without permits, and the time of its last refill.
     tokens: (f64, Instant),
 }
 
 impl BoxState {
-    /// A box that has just started.
+    /// Creates a box that has just started.
     pub fn new(run: u64, now: Instant) -> Self {
         let mut fleet = Fleet::default();
         fleet.upsert(entry(), EntrySource::Written, now);
@@ -48,19 +48,19 @@
             demand: Demand::default(),
             allocator: Allocator::default(),
             number: 0,
-            told_us: None,
+            limit_stated_us: None,
             suspended_until: 0,
             tokens: (0.0, now),
         }
     }
 
-    /// The limit that it knows.
+    /// The limit, if the box knows it.
     pub fn limit(&self) -> Option<RateLimit> {
         self.fleet.rate_limit_of(&target())
     }
 
-    /// The target named this limit in an answer; yields whether it changed.
-    pub fn told(&mut self, limit: Option<RateLimit>, now: Instant) -> bool {
+    /// Records the limit that an answer of the target stated. Returns whether it changed.
+    pub fn record_limit(&mut self, limit: Option<RateLimit>, now: Instant) -> bool {
         let mut is_changed = false;
         self.fleet.update_notice(&target(), now, |notice| {
             is_changed = notice.state_limit(StatedLimit { limit, at: now }, now);
@@ -68,12 +68,13 @@
         is_changed
     }
 
-    /// Whether it may send a request now; if so, that is used. `part` is its part of the limit in the ways without permits.
-    pub fn may_send(&mut self, way: Way, part: f64, now: Instant) -> bool {
+    /// Takes a permit or token for a request, if there is one. `part` is the box's fraction of the limit in the policies without
+    /// permits.
+    pub fn may_send(&mut self, policy: Policy, part: f64, now: Instant) -> bool {
         let Some(limit) = self.limit() else {
             return true;
         };
-        if way == Way::Permits {
+        if policy == Policy::Permits {
             let key = self.fleet.find(TARGET);
             let engine = key.and_then(|key| self.fleet.get_mut(key));
             return engine.is_some_and(|engine| engine.take_permit(now));
@@ -87,7 +88,7 @@
         is_permitted
     }
 
-    /// Asks for permits, if it knows a limit and has callers.
+    /// Builds a permit request, if the box knows the limit and has demand.
     pub fn request(&mut self, now: Instant) -> Option<PermitRequest> {
         self.limit()?;
         let mut demands = self.demand.services(now);
@@ -103,7 +104,7 @@
         })
     }
 
-    /// Fills the buckets of its allocator.
+    /// Refills the buckets of the allocator.
     pub fn refill(&mut self, domains: usize, now: Instant) {
         let scope = SharingScope {
             domains,
@@ -114,7 +115,7 @@
     }
 }
 
-/// The run of the target.
+/// The current run of the target.
 pub fn target() -> TargetRun {
     entry().run()
 }
--- a/reachtally-bench/src/limits/window.rs
+++ b/reachtally-bench/src/limits/window.rs
@@ -1,16 +1,17 @@
-//! Arrivals in windows.
+//! Arrival counts in sliding windows.
 
-/// Times in µs of what arrived.
+/// Arrival times in µs.
 #[derive(Debug, Default)]
 pub struct Arrivals(Vec<u64>);
 
 impl Arrivals {
-    /// Notes an arrival; they come in order.
+    /// Records an arrival; times must not decrease.
     pub fn push(&mut self, at_us: u64) {
         self.0.push(at_us);
     }
 
-    /// The largest ratio of what arrived in a window of `length` that ends at `from` or later to what `allowed` tells for its end.
+    /// Largest ratio of arrivals to `allowed` arrivals in any window of `length` µs that ends at `from` or later. `allowed` takes the
+    /// end of the window.
     pub fn worst(&self, length: u64, from: u64, allowed: impl Fn(u64) -> f64) -> f64 {
         let mut first = 0;
         let mut worst: f64 = 0.0;
@@ -25,7 +26,7 @@
         worst
     }
 
-    /// Arrivals from `from` to before `to`.
+    /// Number of arrivals in `from..to`.
     pub fn between(&self, from: u64, to: u64) -> usize {
         self.0.iter().filter(|at| (from..to).contains(*at)).count()
     }
--- a/reachtally-bench/src/suspects.rs
+++ b/reachtally-bench/src/suspects.rs
@@ -33,7 +33,7 @@
 /// Run the experiment.
 pub fn run(options: &Options) -> Result<Report, String> {
     if !(0.0..1.0).contains(&options.loss) {
-        return Err("the part of the datagrams that are lost is from 0 to below 1".to_owned());
+        return Err("the fraction of lost datagrams must be at least 0 and below 1".to_owned());
     }
     let mut report = Report::default();
     for boxes in BOXES {
