--- a/reachtally-bench/src/admission/simulation.rs
+++ b/reachtally-bench/src/admission/simulation.rs
@@ -425,7 +425,7 @@
     /// Whether a box can reach the engines of a failure domain.
     fn can_reach(&self, box_index: usize, domain: usize) -> bool {
         let home = box_index % DOMAINS;
-        home == domain || (home != 0 && domain != 0) || self.exchange.cut_off.is_none()
+        home == domain || (home != 0 && domain != 0) || self.exchange.partitioned.is_none()
     }
 
     /// Engines that a box cannot reach.
@@ -553,13 +553,13 @@
         loop {
             let request = &mut self.requests[number];
             let entry_box = &mut self.exchange.boxes[request.box_index];
-            let Some(path) = entry_box.numbers(&choice.path) else {
+            let Some(path) = entry_box.engine_numbers(&choice.path) else {
                 return;
             };
             request.job.path = path;
             request.sends += 1;
             request.sent = now;
-            let rows = entry_box.rows(&request.job.path);
+            let rows = entry_box.engine_keys(&request.job.path);
             let admission = &mut self.admission_states[request.box_index];
             admission.pacer.admitted();
             admission.booking.sent(self.timeline.clock());
@@ -592,7 +592,7 @@
     fn release_load(&mut self, number: usize) {
         let request = &self.requests[number];
         let entry_box = &mut self.exchange.boxes[request.box_index];
-        let rows = entry_box.rows(&request.job.path);
+        let rows = entry_box.engine_keys(&request.job.path);
         entry_box.fleet.end_prefill(&rows, request.job.load.prompt);
         entry_box.fleet.end(&rows, request.job.load.held());
     }
@@ -672,7 +672,7 @@
         let objective = OBJECTIVES_US[usize::from(request.job.rank)];
         let is_in_time = now - request.tried <= objective;
         let entry_box = &mut self.exchange.boxes[request.box_index];
-        let rows = entry_box.rows(&request.job.path);
+        let rows = entry_box.engine_keys(&request.job.path);
         entry_box.fleet.end_prefill(&rows, request.job.load.prompt);
         for key in rows {
             if let Some(engine) = entry_box.fleet.get_mut(key) {
@@ -694,7 +694,7 @@
         let (box_index, sent) = (request.box_index, request.sent);
         self.engines.end(&request.job);
         let entry_box = &mut self.exchange.boxes[box_index];
-        let rows = entry_box.rows(&request.job.path);
+        let rows = entry_box.engine_keys(&request.job.path);
         entry_box.fleet.end(&rows, request.job.load.held());
         self.admission_states[box_index]
             .pacer
@@ -736,7 +736,7 @@
         self.utilization_samples.0 += self.engines.utilization();
         self.utilization_samples.1 += 1;
         self.engines.slowdown = self.parameters.scenario.slowdown(time_s);
-        self.exchange.cut_off = self.parameters.scenario.is_partitioned(time_s).then_some(0);
+        self.exchange.partitioned = self.parameters.scenario.is_partitioned(time_s).then_some(0);
         if self.timeline.now_us().is_multiple_of(1_000_000) {
             self.update_shares();
         }
--- a/reachtally-bench/src/admission/simulation/collect.rs
+++ b/reachtally-bench/src/admission/simulation/collect.rs
@@ -3,7 +3,7 @@
 use super::{Event, Simulation};
 use crate::admission::engines::DOMAINS;
 use crate::admission::ways::Policy;
-use crate::boxes::{DELAY_US, REPORT_US};
+use crate::boxes::{DELAY_US, REPORT_INTERVAL_US};
 use crate::choice::engines::STAGES;
 
 /// Size in bytes of a report of rates, and of the probabilities in its answer, in [`Policy::Probability`].
@@ -46,7 +46,7 @@
         if self.parameters.policy != Policy::Probability {
             return;
         }
-        let seconds = REPORT_US as f64 / 1e6;
+        let seconds = REPORT_INTERVAL_US as f64 / 1e6;
         let offered = std::mem::take(&mut self.admission_states[box_index].offered)
             .map(|count| count / seconds);
         let collector = box_index % DOMAINS;
@@ -81,7 +81,10 @@
     }
 
     fn post(&mut self, from: usize, to: usize, event: Event) {
-        if self.exchange.passes(from, to, RATES_BYTES, &mut self.rng) {
+        if self
+            .exchange
+            .is_delivered(from, to, RATES_BYTES, &mut self.rng)
+        {
             self.timeline.schedule(DELAY_US, event);
         }
     }
--- a/reachtally-bench/src/boxes.rs
+++ b/reachtally-bench/src/boxes.rs
@@ -1,4 +1,4 @@
-//! Boxes of a simulation, and the datagrams by which they tell each other their loads.
+//! Simulated boxes, and the datagrams in which they exchange their loads.
 
 use std::collections::HashMap;
 use std::net::{IpAddr, Ipv4Addr};
@@ -14,37 +14,37 @@
 
 use crate::timeline::Timeline;
 
-/// Time between two reports of a box, in µs, as the relay has it.
-pub const REPORT_US: u64 = 200_000;
-/// Time between two sums of a collector, in µs, as the relay has it.
-const SUM_US: u64 = 50_000;
-/// Time of a datagram on its way, in µs.
+/// Report interval of a box, as in the relay, in µs.
+pub const REPORT_INTERVAL_US: u64 = 200_000;
+/// Interval between two updates of a collector's totals, as in the relay, in µs.
+const TOTALS_INTERVAL_US: u64 = 50_000;
+/// Delay of a datagram, in µs.
 pub const DELAY_US: u64 = 2_000;
 
-/// One box: the shipped tables, told only by messages.
+/// A simulated box: the production tables, updated by messages only.
 pub struct SimBox {
-    /// Its run.
+    /// Incarnation of the box.
     pub run: Incarnation,
-    /// Its failure domain.
+    /// Failure domain of the box.
     pub domain: String,
-    /// What it knows of the engines.
+    /// Engine table.
     pub fleet: Fleet,
-    /// Their rows, by number.
+    /// Keys of the engines in `fleet`, by engine number.
     pub keys: Vec<EngineKey>,
-    /// What it was told of the others' requests.
+    /// Loads of other boxes, as last received.
     pub remote_loads: RemoteLoads,
-    /// What is reported to it.
+    /// Loads reported to this box, if it is a collector.
     pub collector: Collector,
-    /// Numbers its reports.
+    /// Number of its last report.
     number: u64,
-    /// Messages sent and received.
+    /// Number of messages sent and received.
     pub messages: u64,
-    /// Their bytes.
+    /// Bytes of these messages.
     pub bytes: u64,
 }
 
 impl SimBox {
-    /// A box that knows the engines, and nothing of the others.
+    /// Creates a box that knows the engines, but no loads of other boxes.
     pub fn new(number: usize, domain: String, entries: &[Entry]) -> Self {
         let mut fleet = Fleet::default();
         let upsert = |entry: &Entry| {
@@ -66,31 +66,31 @@
         }
     }
 
-    /// Counts a message.
+    /// Counts a message sent or received.
     pub fn count(&mut self, bytes: usize) {
         self.messages += 1;
         self.bytes += bytes as u64;
     }
 
-    /// The engines of a path, by number.
-    pub fn numbers(&self, path: &Path) -> Option<Vec<usize>> {
+    /// Returns the engine numbers of a path.
+    pub fn engine_numbers(&self, path: &Path) -> Option<Vec<usize>> {
         let number = |key: &EngineKey| self.keys.iter().position(|known| known == key);
         path.engines().iter().map(number).collect()
     }
 
-    /// The rows of engines by number.
-    pub fn rows(&self, path: &[usize]) -> Vec<EngineKey> {
+    /// Returns the engine keys of a path.
+    pub fn engine_keys(&self, path: &[usize]) -> Vec<EngineKey> {
         path.iter().map(|number| self.keys[*number]).collect()
     }
 }
 
-/// What happens between boxes.
+/// An event of the load exchange.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Tick {
     /// A box reports its loads.
     Report(usize),
-    /// A collector sums up what it was told.
-    Sum(usize),
+    /// A collector updates its totals.
+    UpdateTotals(usize),
     /// A datagram arrives, by its number.
     Arrival(u64),
 }
@@ -101,16 +101,16 @@
     message: Message,
 }
 
-/// Boxes that exchange their loads. The first box of each failure domain is its collector; box `n` is in failure domain
+/// Simulated boxes that exchange loads. The first box of each failure domain is its collector; box `n` is in failure domain
 /// `n % domains`.
 pub struct Exchange {
-    /// The boxes, by number.
+    /// Boxes by number.
     pub boxes: Vec<SimBox>,
     domains: usize,
-    /// Of this many datagrams one is lost.
-    lost_of: u32,
-    /// A failure domain that is cut off from the others.
-    pub cut_off: Option<usize>,
+    /// One of this many datagrams is lost.
+    loss_interval: u32,
+    /// The failure domain that is partitioned from the others, if any.
+    pub partitioned: Option<usize>,
     in_flight: HashMap<u64, Datagram>,
     sent: u64,
 }
@@ -120,13 +120,13 @@
 }
 
 impl Exchange {
-    /// Boxes that have told each other nothing yet.
-    pub fn new(boxes: Vec<SimBox>, domains: usize, lost_of: u32) -> Self {
+    /// Creates an exchange in which no box has reported yet.
+    pub fn new(boxes: Vec<SimBox>, domains: usize, loss_interval: u32) -> Self {
         Exchange {
             boxes,
             domains,
-            lost_of,
-            cut_off: None,
+            loss_interval,
+            partitioned: None,
             in_flight: HashMap::new(),
             sent: 0,
         }
@@ -137,19 +137,19 @@
         self.domains.min(self.boxes.len())
     }
 
-    /// Schedules the first report of each box, and the first sum of each collector.
+    /// Schedules the first report of each box and the first totals of each collector, each at a random phase.
     pub fn start<E: Ord + From<Tick>>(&self, rng: &mut ChaCha8Rng, timeline: &mut Timeline<E>) {
         for number in 0..self.boxes.len() {
-            let phase = rng.random_range(0..REPORT_US);
+            let phase = rng.random_range(0..REPORT_INTERVAL_US);
             timeline.schedule(phase, Tick::Report(number).into());
         }
         for collector in 0..self.collectors() {
-            let phase = rng.random_range(0..SUM_US);
-            timeline.schedule(phase, Tick::Sum(collector).into());
+            let phase = rng.random_range(0..TOTALS_INTERVAL_US);
+            timeline.schedule(phase, Tick::UpdateTotals(collector).into());
         }
     }
 
-    /// Handles what happens now. Returns the box that knows other loads since.
+    /// Handles an event. Returns the box whose knowledge of loads it changed, if any.
     pub fn handle<E: Ord + From<Tick>>(
         &mut self,
         tick: Tick,
@@ -158,12 +158,12 @@
     ) -> Option<usize> {
         match tick {
             Tick::Report(number) => {
-                timeline.schedule(REPORT_US, tick.into());
+                timeline.schedule(REPORT_INTERVAL_US, tick.into());
                 self.report(number, rng, timeline);
                 Some(number)
             }
-            Tick::Sum(number) => {
-                timeline.schedule(SUM_US, tick.into());
+            Tick::UpdateTotals(number) => {
+                timeline.schedule(TOTALS_INTERVAL_US, tick.into());
                 self.boxes[number].collector.update_totals(timeline.clock());
                 None
             }
@@ -171,7 +171,8 @@
         }
     }
 
-    /// A box reports to the collector of its failure domain, or to itself; a collector tells the others.
+    /// Reports the loads of a box to the collector of its failure domain. A collector records its own loads and sends its part to the
+    /// other collectors.
     fn report<E: Ord + From<Tick>>(
         &mut self,
         number: usize,
@@ -179,12 +180,10 @@
         timeline: &mut Timeline<E>,
     ) {
         let now = timeline.clock();
-        let entrance = &mut self.boxes[number];
-        entrance.number += 1;
-        let report = loads::own_report(entrance.run, entrance.number, &entrance.fleet, now);
-        entrance
-            .remote_loads
-            .remove_expired(&mut entrance.fleet, now);
+        let sim_box = &mut self.boxes[number];
+        sim_box.number += 1;
+        let report = loads::own_report(sim_box.run, sim_box.number, &sim_box.fleet, now);
+        sim_box.remote_loads.remove_expired(&mut sim_box.fleet, now);
         let collector = number % self.domains;
         if collector != number {
             for page in load::pages(&report) {
@@ -192,13 +191,13 @@
             }
             return;
         }
-        entrance.collector.receive(report, ip(number), now);
-        entrance.collector.update_totals(now);
-        let others = entrance.collector.all_except(entrance.run);
-        entrance
+        sim_box.collector.receive(report, ip(number), now);
+        sim_box.collector.update_totals(now);
+        let others = sim_box.collector.all_except(sim_box.run);
+        sim_box
             .remote_loads
-            .receive(others, &mut entrance.fleet, now);
-        let parts = entrance.collector.parts(entrance.run);
+            .receive(others, &mut sim_box.fleet, now);
+        let parts = sim_box.collector.parts(sim_box.run);
         for to in (0..self.collectors()).filter(|to| *to != number) {
             for part in &parts {
                 self.send(number, to, Message::Part(part.clone()), rng, timeline);
@@ -206,12 +205,18 @@
         }
     }
 
-    /// Counts a datagram of `bytes` and draws whether it arrives.
-    pub fn passes(&mut self, from: usize, to: usize, bytes: usize, rng: &mut ChaCha8Rng) -> bool {
+    /// Counts a datagram of `bytes` and decides whether it is delivered.
+    pub fn is_delivered(
+        &mut self,
+        from: usize,
+        to: usize,
+        bytes: usize,
+        rng: &mut ChaCha8Rng,
+    ) -> bool {
         self.boxes[from].count(bytes);
         let (home, other) = (from % self.domains, to % self.domains);
         let is_cut = |cut| home != other && (home == cut || other == cut);
-        if rng.random_range(0..self.lost_of) == 0 || self.cut_off.is_some_and(is_cut) {
+        if rng.random_range(0..self.loss_interval) == 0 || self.partitioned.is_some_and(is_cut) {
             return false;
         }
         self.boxes[to].count(bytes);
@@ -227,7 +232,7 @@
         timeline: &mut Timeline<E>,
     ) {
         let bytes = load::encode(&message).len();
-        if !self.passes(from, to, bytes, rng) {
+        if !self.is_delivered(from, to, bytes, rng) {
             return;
         }
         self.sent += 1;
@@ -244,30 +249,30 @@
     ) -> Option<usize> {
         let now = timeline.clock();
         let Datagram { from, to, message } = self.in_flight.remove(&number)?;
-        let entrance = &mut self.boxes[to];
+        let sim_box = &mut self.boxes[to];
         match message {
             Message::Report(page) => {
                 let (run, number, is_first) = (page.run, page.number, page.index == 0);
-                entrance.collector.receive_page(page, ip(from), now);
+                sim_box.collector.receive_page(page, ip(from), now);
                 if !is_first {
                     return None;
                 }
-                for others in entrance.collector.answers(run, number) {
+                for others in sim_box.collector.answers(run, number) {
                     self.send(to, from, Message::Others(others), rng, timeline);
                 }
                 None
             }
             Message::Part(part) => {
-                entrance.collector.receive_part(part, ip(from), now);
+                sim_box.collector.receive_part(part, ip(from), now);
                 None
             }
             Message::Others(others) => {
-                entrance
+                sim_box
                     .remote_loads
-                    .receive(others, &mut entrance.fleet, now);
+                    .receive(others, &mut sim_box.fleet, now);
                 Some(to)
             }
-            // Boxes of a simulation send loads only.
+            // Simulated boxes send loads only.
             _ => None,
         }
     }
--- a/reachtally-bench/src/choice/engines.rs
+++ b/reachtally-bench/src/choice/engines.rs
@@ -1,25 +1,24 @@
-//! Engines as the simulation has them, all alike: they read prompts one after the other and refuse what
-//! their KV does not hold.
+//! Identical simulated engines, which prefill prompts sequentially and refuse requests that do not fit their KV.
 
 use reachtally_core::forward::cost::{Card, LayerModel};
 use reachtally_core::forward::fleet::Entry;
 
-/// Failure domains.
+/// Number of failure domains.
 pub const DOMAINS: usize = 5;
-/// Engines for each range of layers in a failure domain.
-const WIDTH: usize = 5;
-/// Ranges that the layers are cut into.
+/// Engines per layer range in a failure domain.
+const ENGINES_PER_RANGE: usize = 5;
+/// Number of layer ranges of the model.
 pub const STAGES: usize = 4;
-/// Layers of each.
+/// Layers per range.
 const STAGE_LAYERS: u32 = 20;
-/// The service of all engines.
+/// Service of all engines.
 pub const SERVICE: &str = "pool";
-/// Their kind of card.
+/// Card type of all engines.
 pub const CARD: &str = "middle";
-/// Time of a token from one engine to the next, in µs.
+/// Network time from one engine to the next, in µs.
 pub const HOP_US: u64 = 500;
 
-/// The model that is served: 80 layers, with the figures of a mid-size card of the users' first site.
+/// The served model: 80 layers, with the figures of a mid-size card at the users' first site.
 pub fn model() -> LayerModel {
     let card = Card {
         memory_mb: 43_200.0,
@@ -43,22 +42,22 @@
     }
 }
 
-/// Name of a failure domain.
+/// Returns the name of a failure domain.
 pub fn domain(number: usize) -> String {
     format!("domain-{number}")
 }
 
-/// Entries of all engines.
+/// Returns the table entries of all engines.
 pub fn entries() -> Vec<Entry> {
-    let numbers = 0..DOMAINS * STAGES * WIDTH;
+    let numbers = 0..DOMAINS * STAGES * ENGINES_PER_RANGE;
     let entry = |number: usize| {
-        let from = (number / WIDTH % STAGES) as u32 * STAGE_LAYERS;
+        let from = (number / ENGINES_PER_RANGE % STAGES) as u32 * STAGE_LAYERS;
         Entry {
             id: format!("e-{number:08}").into(),
             born: None,
             service: SERVICE.into(),
             address: ([10, 0, 0, 1], 1000 + number as u16).into(),
-            domain: domain(number / WIDTH / STAGES).into(),
+            domain: domain(number / ENGINES_PER_RANGE / STAGES).into(),
             draining: false,
             slots: 192,
             card: Some(CARD.into()),
@@ -68,43 +67,43 @@
     numbers.map(entry).collect()
 }
 
-/// One engine.
+/// State of a simulated engine.
 #[derive(Debug, Clone, Default)]
 pub struct SimEngine {
-    /// Until when it reads the prompts that it has, in µs.
+    /// Time in µs at which it has prefilled all of its prompts.
     busy_until: u64,
     /// KV tokens in use.
     held: f64,
-    /// Requests begun.
+    /// Number of started requests.
     pub begun: u32,
 }
 
-/// A request as engines see it.
+/// Size of a request in tokens.
 #[derive(Debug, Clone, Copy)]
 pub struct Load {
-    /// Tokens of its prompt.
+    /// Prompt tokens.
     pub prompt: f64,
-    /// Tokens of its answer.
+    /// Answer tokens.
     pub answer: f64,
 }
 
 impl Load {
-    /// KV tokens that it holds on average.
+    /// Mean number of KV tokens that the request holds while it runs.
     pub fn held(&self) -> f64 {
         self.prompt + self.answer / 2.0
     }
 }
 
-/// When a request that began shows its first event, and when it ends, in µs.
+/// Times of a started request, in µs.
 #[derive(Debug, Clone, Copy)]
 pub struct Times {
-    /// The first event.
+    /// Time of the first event.
     pub first: u64,
-    /// The end.
+    /// Time of completion.
     pub end: u64,
 }
 
-/// Begin a request on the engines of a path; an engine that has no room refuses.
+/// Starts a request on the engines of a path. Fails with the first engine whose KV the request does not fit.
 pub fn begin(
     engines: &mut [SimEngine],
     path: &[usize],
@@ -113,8 +112,8 @@
     now: u64,
 ) -> Result<Times, usize> {
     let card = model.cards[CARD];
-    let room = model.kv_tokens(&card, STAGE_LAYERS);
-    let full = |at: &&usize| engines[**at].held + load.held() > room;
+    let kv_capacity = model.kv_tokens(&card, STAGE_LAYERS);
+    let full = |at: &&usize| engines[**at].held + load.held() > kv_capacity;
     if let Some(full) = path.iter().find(full) {
         return Err(*full);
     }
@@ -135,7 +134,7 @@
     })
 }
 
-/// A request has ended.
+/// Releases the KV of a request that ended.
 pub fn end(engines: &mut [SimEngine], path: &[usize], load: Load) {
     for number in path {
         engines[*number].held -= load.held();
--- a/reachtally-bench/src/choice/play.rs
+++ b/reachtally-bench/src/choice/play.rs
@@ -1,4 +1,4 @@
-//! One play: a number of boxes before the same fleet at the same load.
+//! Discrete-event simulation of a number of boxes in front of a fixed set of engines at a fixed load.
 
 use std::time::Duration;
 
@@ -12,23 +12,23 @@
 use crate::choice::engines::{self, DOMAINS, Load, SERVICE, SimEngine};
 use crate::timeline::Timeline;
 
-/// How long requests are reckoned to run.
-const HELD: Duration = Duration::from_millis(1500);
-/// Of this many datagrams one is lost.
-const LOST_OF: u32 = 100;
-/// Sends of a request, refused ones included.
-const MOST_SENDS: u32 = 5;
-/// Time to the first event that is still in time, in µs.
+/// Expected duration of a request, for path selection.
+const EXPECTED_DURATION: Duration = Duration::from_millis(1500);
+/// One of this many datagrams is lost.
+const LOSS_INTERVAL: u32 = 100;
+/// Maximum number of sends of a request, refused ones included.
+const MAX_SENDS: u32 = 5;
+/// Latency objective for the first event, in µs.
 const OBJECTIVE_US: u64 = 500_000;
-/// What answers should keep to.
-const AIM: LatencyObjectives = LatencyObjectives {
+/// Latency objectives for path selection.
+const OBJECTIVES: LatencyObjectives = LatencyObjectives {
     first_ms: Some(OBJECTIVE_US as f64 / 1000.0),
     gap_ms: Some(200.0),
 };
-/// Time before what happens counts, in µs: the fleet fills.
+/// Warm-up time before the measurement, in which the engines fill, in µs.
 const WARM_UP_US: u64 = 3_000_000;
 
-/// What a play showed, after the fleet had filled.
+/// Measurements after the warm-up.
 #[derive(Debug, Default)]
 pub struct Outcome {
     served: u32,
@@ -38,59 +38,59 @@
     begun: Vec<u32>,
     seconds: f64,
     boxes: usize,
-    /// Messages and bytes of boxes that collect nothing.
+    /// Messages and bytes of boxes that are not collectors.
     plain: (u64, u64),
-    collected: u64,
+    collector_messages: u64,
 }
 
 impl Outcome {
-    /// Requests at the busiest engine, in those of the mean one.
+    /// Requests at the busiest engine, relative to the mean.
     pub fn spread(&self) -> f64 {
         let most = self.begun.iter().max().copied().unwrap_or_default();
         let sum: u32 = self.begun.iter().sum();
         f64::from(most) * self.begun.len() as f64 / f64::from(sum.max(1))
     }
 
-    /// First events that came late, or never, in a hundred requests.
+    /// Percentage of requests whose first event was late or missing.
     pub fn late_percent(&self) -> f64 {
         100.0 * f64::from(self.late) / f64::from(self.served.max(1))
     }
 
-    /// Sends that engines refused, in a hundred.
+    /// Percentage of sends that engines refused.
     pub fn refused_percent(&self) -> f64 {
         100.0 * f64::from(self.refused) / f64::from(self.sends.max(1))
     }
 
-    fn each(&self, sum: u64) -> f64 {
+    fn per_box_second(&self, sum: u64) -> f64 {
         let plain = self.boxes.saturating_sub(DOMAINS).max(1) as f64;
         sum as f64 / plain / self.seconds
     }
 
-    /// Messages a second of a box that collects nothing.
-    pub fn messages_each(&self) -> f64 {
-        self.each(self.plain.0)
+    /// Messages per second of a box that is not a collector.
+    pub fn messages_per_box(&self) -> f64 {
+        self.per_box_second(self.plain.0)
     }
 
-    /// Bytes a second of a box that collects nothing.
-    pub fn bytes_each(&self) -> f64 {
-        self.each(self.plain.1)
+    /// Bytes per second of a box that is not a collector.
+    pub fn bytes_per_box(&self) -> f64 {
+        self.per_box_second(self.plain.1)
     }
 
-    /// Messages a second of a collector.
-    pub fn messages_of_collectors(&self) -> f64 {
-        self.collected as f64 / DOMAINS.min(self.boxes) as f64 / self.seconds
+    /// Messages per second of a collector.
+    pub fn messages_per_collector(&self) -> f64 {
+        self.collector_messages as f64 / DOMAINS.min(self.boxes) as f64 / self.seconds
     }
 }
 
-/// What happens at some time.
+/// An event of the simulation.
 #[derive(Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Event {
     Request,
-    /// Something between boxes.
+    /// A report, a sum or a datagram between boxes.
     Tick(Tick),
-    /// A request shows its first event, by its number.
+    /// First event of a request, by its number.
     First(usize),
-    /// A request ends, by its number.
+    /// Completion of a request, by its number.
     End(usize),
 }
 
@@ -101,12 +101,12 @@
 }
 
 struct Request {
-    at: usize,
+    box_index: usize,
     path: Vec<usize>,
     load: Load,
 }
 
-struct Play<'a> {
+struct Simulation<'a> {
     options: &'a Options,
     model: LayerModel,
     rng: ChaCha8Rng,
@@ -117,40 +117,42 @@
     outcome: Outcome,
 }
 
-/// Play `count` boxes.
-pub fn play(count: usize, options: &Options) -> Outcome {
-    let mut play = Play::new(count, options);
+/// Simulates `count` boxes.
+pub fn simulate(count: usize, options: &Options) -> Outcome {
+    let mut simulation = Simulation::new(count, options);
     let end = WARM_UP_US + u64::from(options.seconds) * 1_000_000;
     let mut is_warm = false;
-    while let Some(event) = play.timeline.next_before(end) {
-        if !is_warm && play.timeline.now_us() >= WARM_UP_US {
+    while let Some(event) = simulation.timeline.next_before(end) {
+        if !is_warm && simulation.timeline.now_us() >= WARM_UP_US {
             is_warm = true;
-            play.begin_to_count();
+            simulation.start_measurement();
         }
-        play.handle(event);
+        simulation.handle(event);
     }
-    play.ended()
+    simulation.finish()
 }
 
-impl<'a> Play<'a> {
+impl<'a> Simulation<'a> {
     fn new(count: usize, options: &'a Options) -> Self {
         let entries = engines::entries();
         let boxes = (0..count)
             .map(|number| SimBox::new(number, engines::domain(number % DOMAINS), &entries))
             .collect();
-        let mut play = Play {
+        let mut simulation = Simulation {
             options,
             model: engines::model(),
             rng: ChaCha8Rng::seed_from_u64(options.seed),
             timeline: Timeline::new(),
-            exchange: Exchange::new(boxes, DOMAINS, LOST_OF),
+            exchange: Exchange::new(boxes, DOMAINS, LOSS_INTERVAL),
             engines: vec![SimEngine::default(); entries.len()],
             requests: Vec::new(),
             outcome: Outcome::default(),
         };
-        play.exchange.start(&mut play.rng, &mut play.timeline);
-        play.timeline.schedule(0, Event::Request);
-        play
+        simulation
+            .exchange
+            .start(&mut simulation.rng, &mut simulation.timeline);
+        simulation.timeline.schedule(0, Event::Request);
+        simulation
     }
 
     fn handle(&mut self, event: Event) {
@@ -162,33 +164,33 @@
             }
             Event::First(number) => {
                 let request = &self.requests[number];
-                let entrance = &mut self.exchange.boxes[request.at];
-                let rows = entrance.rows(&request.path);
-                entrance.fleet.end_prefill(&rows, request.load.prompt);
+                let sim_box = &mut self.exchange.boxes[request.box_index];
+                let rows = sim_box.engine_keys(&request.path);
+                sim_box.fleet.end_prefill(&rows, request.load.prompt);
             }
             Event::End(number) => {
                 let request = &self.requests[number];
-                let entrance = &mut self.exchange.boxes[request.at];
-                let rows = entrance.rows(&request.path);
+                let sim_box = &mut self.exchange.boxes[request.box_index];
+                let rows = sim_box.engine_keys(&request.path);
                 let held = request.load.prompt + request.load.answer / 2.0;
-                entrance.fleet.end(&rows, held);
+                sim_box.fleet.end(&rows, held);
                 engines::end(&mut self.engines, &request.path, request.load);
             }
         }
     }
 
-    /// A request comes to some box, which sends it until engines take it.
+    /// Handles the arrival of a request at a random box, which sends it until engines accept it or no sends are left.
     fn request(&mut self) {
         let pause = -self.rng.random::<f64>().max(1e-9).ln() * 1e6 / f64::from(self.options.rate);
         self.timeline.schedule(pause as u64, Event::Request);
-        let at = self.rng.random_range(0..self.exchange.boxes.len());
+        let box_index = self.rng.random_range(0..self.exchange.boxes.len());
         let load = Load {
             prompt: self.rng.random_range(400.0..1200.0),
             answer: self.rng.random_range(100.0..300.0),
         };
         self.outcome.served += 1;
-        for _ in 0..MOST_SENDS {
-            let Some(times) = self.send(at, load) else {
+        for _ in 0..MAX_SENDS {
+            let Some(times) = self.send(box_index, load) else {
                 continue;
             };
             self.outcome.late += u32::from(times.first - self.timeline.now_us() > OBJECTIVE_US);
@@ -197,27 +199,27 @@
         self.outcome.late += 1;
     }
 
-    fn send(&mut self, at: usize, load: Load) -> Option<engines::Times> {
+    fn send(&mut self, box_index: usize, load: Load) -> Option<engines::Times> {
         let need = Requirements {
             prompt: load.prompt,
             answer: load.answer,
-            objectives: AIM,
+            objectives: OBJECTIVES,
         };
         let draw = self.rng.random();
         let now = self.timeline.clock();
-        let entrance = &self.exchange.boxes[at];
+        let sim_box = &self.exchange.boxes[box_index];
         let cx = SelectionContext {
             now,
-            home: &entrance.domain,
+            home: &sim_box.domain,
             avoid: &[],
-            held: HELD,
+            held: EXPECTED_DURATION,
             boxes: 1,
             load_scale: 1.0,
             draw,
             limits: select::Limits::Enforced,
         };
-        let choice = select::path(&entrance.fleet, SERVICE, &self.model, need, &cx)?;
-        let path = entrance.numbers(&choice.path)?;
+        let choice = select::path(&sim_box.fleet, SERVICE, &self.model, need, &cx)?;
+        let path = sim_box.engine_numbers(&choice.path)?;
         self.outcome.sends += 1;
         let begun = engines::begin(
             &mut self.engines,
@@ -226,22 +228,26 @@
             &self.model,
             self.timeline.now_us(),
         );
-        let entrance = &mut self.exchange.boxes[at];
+        let sim_box = &mut self.exchange.boxes[box_index];
         let times = match begun {
             Ok(times) => times,
             Err(full) => {
                 self.outcome.refused += 1;
-                let key = entrance.keys[full];
-                let engine = entrance.fleet.get_mut(key).expect("engines never leave");
+                let key = sim_box.keys[full];
+                let engine = sim_box.fleet.get_mut(key).expect("engines never leave");
                 engine.health.refused(now);
                 return None;
             }
         };
-        let rows = entrance.rows(&path);
-        entrance.fleet.begin(&rows, need.held());
-        entrance.fleet.begin_prefill(&rows, load.prompt);
+        let rows = sim_box.engine_keys(&path);
+        sim_box.fleet.begin(&rows, need.held());
+        sim_box.fleet.begin_prefill(&rows, load.prompt);
         let number = self.requests.len();
-        self.requests.push(Request { at, path, load });
+        self.requests.push(Request {
+            box_index,
+            path,
+            load,
+        });
         self.timeline
             .schedule(times.first - self.timeline.now_us(), Event::First(number));
         self.timeline
@@ -249,29 +255,32 @@
         Some(times)
     }
 
-    fn begin_to_count(&mut self) {
+    fn start_measurement(&mut self) {
         self.outcome = Outcome::default();
         for engine in &mut self.engines {
             engine.begun = 0;
         }
-        for entrance in &mut self.exchange.boxes {
-            entrance.messages = 0;
-            entrance.bytes = 0;
+        for sim_box in &mut self.exchange.boxes {
+            sim_box.messages = 0;
+            sim_box.bytes = 0;
         }
     }
 
-    fn ended(self) -> Outcome {
+    fn finish(self) -> Outcome {
         let (collectors, plain) = self
             .exchange
             .boxes
             .split_at(self.exchange.boxes.len().min(DOMAINS));
-        let messages = |boxes: &[SimBox]| boxes.iter().map(|each| each.messages).sum();
+        let messages = |boxes: &[SimBox]| boxes.iter().map(|sim_box| sim_box.messages).sum();
         Outcome {
             begun: self.engines.iter().map(|engine| engine.begun).collect(),
             seconds: f64::from(self.options.seconds),
             boxes: self.exchange.boxes.len(),
-            plain: (messages(plain), plain.iter().map(|each| each.bytes).sum()),
-            collected: messages(collectors),
+            plain: (
+                messages(plain),
+                plain.iter().map(|sim_box| sim_box.bytes).sum(),
+            ),
+            collector_messages: messages(collectors),
             ..self.outcome
         }
     }
--- a/reachtally-bench/src/suspects/play.rs
+++ b/reachtally-bench/src/suspects/play.rs
@@ -1,4 +1,5 @@
-//! One play: a culprit, ordinary crashes, and a request that many callers share.
+//! Discrete-event simulation of one request that crashes every engine, of ordinary engine crashes, and of a request that many
+//! callers repeat.
 
 use std::collections::HashMap;
 
@@ -13,83 +14,83 @@
 
 use crate::timeline::Timeline;
 
-/// Failure domains; the first box of each collects.
+/// Number of failure domains; the first box of each is its collector.
 const DOMAINS: usize = 5;
-/// How long a play lasts, in µs.
-const PLAY_US: u64 = 30_000_000;
-/// Time between two reports of a box, as the relay has it.
-const REPORT_US: u64 = 200_000;
-/// Time of a datagram.
+/// Duration of a simulation, in µs.
+const DURATION_US: u64 = 30_000_000;
+/// Report interval of a box, as in the relay, in µs.
+const REPORT_INTERVAL_US: u64 = 200_000;
+/// Delay of a datagram, in µs.
 const DELAY_US: u64 = 1_000;
-/// Time between two attempts of the culprit.
-const ATTEMPT_US: u64 = 700_000;
-/// Longest time until an engine begins a request.
-const WAIT_US: u64 = 300_000;
-/// Time from its begin to the engine's end.
-const CRASH_US: u64 = 50_000;
-/// Sends of one attempt.
-const SENDS: u32 = 2;
-/// Time between two ordinary crashes.
-const ORDINARY_US: u64 = 1_500_000;
-/// Innocent requests that an engine had just begun when it ended, at most.
-const BEGUN: u32 = 3;
-/// Of this many ordinary crashes one takes the shared request along.
-const SHARED_OF: u32 = 2;
-/// Time between two requests of the shared kind; each is answered whole where it isn't refused.
-const SHARED_US: u64 = 40_000;
-/// Time in which all boxes must know, after the third end.
-const CONTACT_US: u64 = 3_000_000;
-/// The part of the innocents that are sent again to an engine which ends too.
-const UNLUCKY: f64 = 0.01;
-/// Innocent requests for each one that was begun at an end; the others are no suspects.
-const OTHERS: u64 = 90;
+/// Interval between two attempts of the culprit's caller, in µs.
+const ATTEMPT_INTERVAL_US: u64 = 700_000;
+/// Longest time until an engine starts a request, in µs.
+const MAX_WAIT_US: u64 = 300_000;
+/// Time from the start of the culprit to the crash of its engine, in µs.
+const CRASH_DELAY_US: u64 = 50_000;
+/// Maximum number of sends of one attempt.
+const MAX_SENDS: u32 = 2;
+/// Interval between two ordinary crashes, in µs.
+const ORDINARY_INTERVAL_US: u64 = 1_500_000;
+/// Largest number of innocent requests that an engine has just started when it crashes.
+const MAX_JUST_STARTED: u32 = 3;
+/// One of this many ordinary crashes hits the shared request.
+const SHARED_INTERVAL: u32 = 2;
+/// Interval between two occurrences of the shared request, in µs. Each one completes unless it is refused.
+const SHARED_INTERVAL_US: u64 = 40_000;
+/// Time after the third crash within which all boxes have to quarantine the culprit, in µs.
+const GRACE_US: u64 = 3_000_000;
+/// Fraction of the innocent requests whose repeated send hits another engine that crashes.
+const REPEAT_CRASH_FRACTION: f64 = 0.01;
+/// Innocent requests counted for each one that had just started at a crash; only that one becomes a suspect.
+const INNOCENTS_PER_CRASH: u64 = 90;
 
 const CULPRIT: Fingerprint = Fingerprint([1; 16]);
 const SHARED: Fingerprint = Fingerprint([2; 16]);
 const ACCOUNT: AccountDigest = AccountDigest(1);
 
-/// What is played.
+/// Parameters of a simulation.
 #[derive(Debug, Clone, Copy)]
-pub struct Setting {
+pub struct Parameters {
     /// Number of boxes.
     pub boxes: usize,
-    /// Part of the datagrams that are lost.
+    /// Fraction of the datagrams that are lost.
     pub loss: f64,
-    /// Seed of all draws.
+    /// Seed of the random number generator.
     pub seed: u64,
 }
 
-/// What was seen, of one play or of several.
+/// Measurements of one or several simulations.
 #[derive(Debug, Clone, Default)]
-pub struct Seen {
-    /// Plays.
+pub struct Results {
+    /// Number of simulations.
     pub plays: u64,
-    /// Engines that ended under the culprit.
-    pub ends: u64,
-    /// Most of one play.
-    pub most_ends: u64,
-    /// Sends of the culprit beyond [`CONTACT_US`] after the third end.
+    /// Engines that the culprit crashed.
+    pub engines_lost: u64,
+    /// Largest number of engines that the culprit crashed in one simulation.
+    pub max_engines_lost: u64,
+    /// Sends of the culprit later than [`GRACE_US`] after the third crash.
     pub late_sends: u64,
-    /// Time from the first box that stopped it until all had, in ms.
-    pub known_ms: f64,
-    /// Innocent requests, and those of them that were refused.
+    /// Time between the first and the last box that quarantined the culprit, in ms.
+    pub propagation_ms: f64,
+    /// Innocent requests.
     pub innocents: u64,
-    /// See there.
+    /// Innocent requests that were refused.
     pub innocents_refused: u64,
-    /// Bytes a second of the box and of the collector that had most of them.
+    /// Largest traffic of a box that is not a collector, in bytes per second.
     pub box_bytes: f64,
-    /// See there.
+    /// Largest traffic of a collector, in bytes per second.
     pub collector_bytes: f64,
 }
 
-impl Seen {
-    /// Add what another play showed.
-    pub fn add(&mut self, other: &Seen) {
+impl Results {
+    /// Merges the measurements of another simulation.
+    pub fn add(&mut self, other: &Results) {
         self.plays += other.plays;
-        self.ends += other.ends;
-        self.most_ends = self.most_ends.max(other.ends);
+        self.engines_lost += other.engines_lost;
+        self.max_engines_lost = self.max_engines_lost.max(other.engines_lost);
         self.late_sends += other.late_sends;
-        self.known_ms += other.known_ms;
+        self.propagation_ms += other.propagation_ms;
         self.innocents += other.innocents;
         self.innocents_refused += other.innocents_refused;
         self.box_bytes += other.box_bytes;
@@ -99,252 +100,283 @@
 
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 enum Event {
-    /// A box reports, and tells what it has to tell.
+    /// A box reports its changed suspects.
     Report(usize),
-    /// A datagram arrives, by its place in the post.
+    /// A datagram arrives, by its index in the list of datagrams.
     Arrival(usize),
-    /// The culprit's caller comes to a box.
+    /// The culprit's caller sends it to a box.
     Attempt,
-    /// A box's send of the culprit ends its engine, if it is still there.
-    Crash { at: usize, sends: u32 },
-    /// An engine ends without any request's fault.
-    Ordinary,
-    /// A request of the shared kind comes to a box.
+    /// The culprit crashes its engine, unless its box has quarantined it since.
+    Crash { box_index: usize, sends: u32 },
+    /// An engine crashes for a reason that is not a request.
+    OrdinaryCrash,
+    /// The shared request arrives at a box.
     Shared,
 }
 
 struct Datagram {
     from: usize,
     to: usize,
-    told: Vec<SuspectReport>,
+    reports: Vec<SuspectReport>,
 }
 
-/// One play.
-pub struct Play {
-    setting: Setting,
+/// A simulation.
+pub struct Simulation {
+    parameters: Parameters,
     rng: ChaCha8Rng,
     timeline: Timeline<Event>,
-    post: Vec<Option<Datagram>>,
+    datagrams: Vec<Option<Datagram>>,
     tables: Vec<Quarantine>,
     bytes: Vec<u64>,
     next_run: u32,
     next_innocent: u64,
-    stopped_us: HashMap<usize, u64>,
-    third_end_us: Option<u64>,
-    seen: Seen,
+    quarantined_us: HashMap<usize, u64>,
+    third_crash_us: Option<u64>,
+    results: Results,
 }
 
-impl Play {
-    /// A play that has not begun.
-    pub fn new(setting: Setting) -> Self {
-        let mut play = Play {
-            setting,
-            rng: ChaCha8Rng::seed_from_u64(setting.seed),
+impl Simulation {
+    /// Creates a simulation at time 0.
+    pub fn new(parameters: Parameters) -> Self {
+        let mut simulation = Simulation {
+            parameters,
+            rng: ChaCha8Rng::seed_from_u64(parameters.seed),
             timeline: Timeline::new(),
-            post: Vec::new(),
-            tables: (0..setting.boxes).map(|_| Quarantine::default()).collect(),
-            bytes: vec![0; setting.boxes],
+            datagrams: Vec::new(),
+            tables: (0..parameters.boxes)
+                .map(|_| Quarantine::default())
+                .collect(),
+            bytes: vec![0; parameters.boxes],
             next_run: 0,
             next_innocent: 0,
-            stopped_us: HashMap::new(),
-            third_end_us: None,
-            seen: Seen::default(),
+            quarantined_us: HashMap::new(),
+            third_crash_us: None,
+            results: Results::default(),
         };
-        for at in 0..setting.boxes {
-            let first = play.rng.random_range(0..REPORT_US);
-            play.timeline.schedule(first, Event::Report(at));
+        for box_index in 0..parameters.boxes {
+            let first = simulation.rng.random_range(0..REPORT_INTERVAL_US);
+            simulation
+                .timeline
+                .schedule(first, Event::Report(box_index));
         }
-        play.timeline.schedule(ATTEMPT_US, Event::Attempt);
-        play.timeline.schedule(ORDINARY_US, Event::Ordinary);
-        play.timeline.schedule(SHARED_US, Event::Shared);
-        play
+        simulation
+            .timeline
+            .schedule(ATTEMPT_INTERVAL_US, Event::Attempt);
+        simulation
+            .timeline
+            .schedule(ORDINARY_INTERVAL_US, Event::OrdinaryCrash);
+        simulation
+            .timeline
+            .schedule(SHARED_INTERVAL_US, Event::Shared);
+        simulation
     }
 
-    /// Play it.
-    pub fn run(mut self) -> Seen {
-        while let Some(event) = self.timeline.next_before(PLAY_US) {
-            self.happen(event);
+    /// Runs the simulation to its end.
+    pub fn run(mut self) -> Results {
+        while let Some(event) = self.timeline.next_before(DURATION_US) {
+            self.handle(event);
         }
         self.finish()
     }
 
-    fn finish(mut self) -> Seen {
-        let first = self.stopped_us.values().min().copied().unwrap_or_default();
-        let last = self.stopped_us.values().max().copied().unwrap_or_default();
-        let last = match self.stopped_us.len() == self.setting.boxes {
+    fn finish(mut self) -> Results {
+        let first = self
+            .quarantined_us
+            .values()
+            .min()
+            .copied()
+            .unwrap_or_default();
+        let last = self
+            .quarantined_us
+            .values()
+            .max()
+            .copied()
+            .unwrap_or_default();
+        let last = match self.quarantined_us.len() == self.parameters.boxes {
             true => last,
-            false => PLAY_US,
+            false => DURATION_US,
         };
-        let per_second = |bytes: u64| bytes as f64 / (PLAY_US as f64 / 1e6);
-        let collectors = DOMAINS.min(self.setting.boxes);
-        let most = |bytes: &[u64]| bytes.iter().max().copied().unwrap_or_default();
-        self.seen.plays = 1;
-        self.seen.known_ms = (last - first) as f64 / 1e3;
-        self.seen.collector_bytes = per_second(most(&self.bytes[..collectors]));
-        self.seen.box_bytes = per_second(most(&self.bytes[collectors..]));
-        self.seen
+        let per_second = |bytes: u64| bytes as f64 / (DURATION_US as f64 / 1e6);
+        let collectors = DOMAINS.min(self.parameters.boxes);
+        let max = |bytes: &[u64]| bytes.iter().max().copied().unwrap_or_default();
+        self.results.plays = 1;
+        self.results.propagation_ms = (last - first) as f64 / 1e3;
+        self.results.collector_bytes = per_second(max(&self.bytes[..collectors]));
+        self.results.box_bytes = per_second(max(&self.bytes[collectors..]));
+        self.results
     }
 
-    fn any_box(&mut self) -> usize {
-        self.rng.random_range(0..self.setting.boxes)
+    fn random_box(&mut self) -> usize {
+        self.rng.random_range(0..self.parameters.boxes)
     }
 
-    fn happen(&mut self, event: Event) {
+    fn handle(&mut self, event: Event) {
         match event {
-            Event::Report(at) => {
-                self.tell(at, None);
-                self.timeline.schedule(REPORT_US, Event::Report(at));
+            Event::Report(box_index) => {
+                self.propagate(box_index, None);
+                self.timeline
+                    .schedule(REPORT_INTERVAL_US, Event::Report(box_index));
             }
-            Event::Arrival(place) => self.arrive(place),
+            Event::Arrival(index) => self.arrive(index),
             Event::Attempt => {
-                let at = self.any_box();
-                self.send(at, 0);
-                self.timeline.schedule(ATTEMPT_US, Event::Attempt);
+                let box_index = self.random_box();
+                self.send_culprit(box_index, 0);
+                self.timeline.schedule(ATTEMPT_INTERVAL_US, Event::Attempt);
             }
-            Event::Crash { at, sends } => self.crash(at, sends),
-            Event::Ordinary => {
-                self.end_run(SHARED_OF);
-                self.timeline.schedule(ORDINARY_US, Event::Ordinary);
+            Event::Crash { box_index, sends } => self.crash(box_index, sends),
+            Event::OrdinaryCrash => {
+                self.crash_engine(SHARED_INTERVAL);
+                self.timeline
+                    .schedule(ORDINARY_INTERVAL_US, Event::OrdinaryCrash);
             }
             Event::Shared => {
-                self.ask_shared();
-                self.timeline.schedule(SHARED_US, Event::Shared);
+                self.send_shared();
+                self.timeline.schedule(SHARED_INTERVAL_US, Event::Shared);
             }
         }
     }
 
-    fn is_stopped(&self, at: usize, request: Fingerprint) -> bool {
-        self.tables[at].verdict(request) == Verdict::Quarantined
+    fn is_quarantined(&self, box_index: usize, request: Fingerprint) -> bool {
+        self.tables[box_index].verdict(request) == Verdict::Quarantined
     }
 
-    /// Box `at` sends the culprit, unless it knows better.
-    fn send(&mut self, at: usize, sends: u32) {
-        if sends >= SENDS || self.is_stopped(at, CULPRIT) {
+    /// Box `box_index` sends the culprit, unless it has quarantined it.
+    fn send_culprit(&mut self, box_index: usize, sends: u32) {
+        if sends >= MAX_SENDS || self.is_quarantined(box_index, CULPRIT) {
             return;
         }
-        let is_late = |third: u64| self.timeline.now_us() > third + CONTACT_US;
-        self.seen.late_sends += u64::from(self.third_end_us.is_some_and(is_late));
-        let wait = self.rng.random_range(0..WAIT_US);
+        let is_late = |third: u64| self.timeline.now_us() > third + GRACE_US;
+        self.results.late_sends += u64::from(self.third_crash_us.is_some_and(is_late));
+        let wait = self.rng.random_range(0..MAX_WAIT_US);
         let sends = sends + 1;
         self.timeline
-            .schedule(wait + CRASH_US, Event::Crash { at, sends });
+            .schedule(wait + CRASH_DELAY_US, Event::Crash { box_index, sends });
     }
 
-    /// The engine ends, unless its box has left it meanwhile.
-    fn crash(&mut self, at: usize, sends: u32) {
-        if self.is_stopped(at, CULPRIT) {
+    /// The engine of the culprit crashes, unless the box has quarantined the culprit since the send.
+    fn crash(&mut self, box_index: usize, sends: u32) {
+        if self.is_quarantined(box_index, CULPRIT) {
             return;
         }
-        self.seen.ends += 1;
-        if self.seen.ends == 3 {
-            self.third_end_us = Some(self.timeline.now_us());
+        self.results.engines_lost += 1;
+        if self.results.engines_lost == 3 {
+            self.third_crash_us = Some(self.timeline.now_us());
         }
-        let run = self.end_run(u32::MAX);
-        self.note_end(at, CULPRIT, run);
-        self.send(at, sends);
+        let run = self.crash_engine(u32::MAX);
+        self.record_crash_of(box_index, CULPRIT, run);
+        self.send_culprit(box_index, sends);
     }
 
-    /// An engine ends and takes innocent requests along that it had just begun; of `shared_of` ends one the shared request.
-    fn end_run(&mut self, shared_of: u32) -> RunDigest {
+    /// An engine crashes together with innocent requests that it had just started, and in one of `shared_of` crashes with the shared
+    /// request.
+    fn crash_engine(&mut self, shared_of: u32) -> RunDigest {
         self.next_run += 1;
         let run = RunDigest(self.next_run);
-        for _ in 0..self.rng.random_range(0..=BEGUN) {
-            let at = self.any_box();
-            self.seen.innocents += OTHERS;
+        for _ in 0..self.rng.random_range(0..=MAX_JUST_STARTED) {
+            let box_index = self.random_box();
+            self.results.innocents += INNOCENTS_PER_CRASH;
             self.next_innocent += 1;
             let mut bytes = [3; 16];
             bytes[..8].copy_from_slice(&self.next_innocent.to_be_bytes());
-            self.note_end(at, Fingerprint(bytes), run);
-            if self.rng.random_bool(UNLUCKY) {
+            self.record_crash_of(box_index, Fingerprint(bytes), run);
+            if self.rng.random_bool(REPEAT_CRASH_FRACTION) {
                 self.next_run += 1;
-                self.note_end(at, Fingerprint(bytes), RunDigest(self.next_run));
-                self.seen.innocents_refused += u64::from(self.is_stopped(at, Fingerprint(bytes)));
+                self.record_crash_of(box_index, Fingerprint(bytes), RunDigest(self.next_run));
+                self.results.innocents_refused +=
+                    u64::from(self.is_quarantined(box_index, Fingerprint(bytes)));
             }
         }
         if self.rng.random_range(0..shared_of) == 0 {
-            let at = self.any_box();
-            self.note_end(at, SHARED, run);
+            let box_index = self.random_box();
+            self.record_crash_of(box_index, SHARED, run);
         }
         run
     }
 
-    fn ask_shared(&mut self) {
-        let (at, now) = (self.any_box(), self.timeline.clock());
-        self.seen.innocents += 1;
-        if self.is_stopped(at, SHARED) {
-            self.seen.innocents_refused += 1;
+    fn send_shared(&mut self) {
+        let (box_index, now) = (self.random_box(), self.timeline.clock());
+        self.results.innocents += 1;
+        if self.is_quarantined(box_index, SHARED) {
+            self.results.innocents_refused += 1;
             return;
         }
-        if self.tables[at].clear_suspicion(SHARED, now) {
-            self.tell(at, None);
+        if self.tables[box_index].clear_suspicion(SHARED, now) {
+            self.propagate(box_index, None);
         }
     }
 
-    fn note_end(&mut self, at: usize, request: Fingerprint, run: RunDigest) {
+    fn record_crash_of(&mut self, box_index: usize, request: Fingerprint, run: RunDigest) {
         let now = self.timeline.clock();
         let end = CrashRecord {
             run,
             had_begun: true,
             is_acquitted: false,
         };
-        if self.tables[at]
+        if self.tables[box_index]
             .record_crash(request, ACCOUNT, end, now)
             .is_some()
         {
-            self.tell(at, None);
+            self.propagate(box_index, None);
         }
-        self.note_stopped(at);
+        self.record_quarantine(box_index);
     }
 
-    fn note_stopped(&mut self, at: usize) {
-        if self.is_stopped(at, CULPRIT) {
-            self.stopped_us.entry(at).or_insert(self.timeline.now_us());
+    fn record_quarantine(&mut self, box_index: usize) {
+        if self.is_quarantined(box_index, CULPRIT) {
+            self.quarantined_us
+                .entry(box_index)
+                .or_insert(self.timeline.now_us());
         }
     }
 
-    /// Tell what has changed: a box its collector, a collector all that report to it and the others.
-    fn tell(&mut self, at: usize, from: Option<usize>) {
+    /// Sends changed suspects: a box to its collector, a collector to the boxes that report to it and to the other collectors, but not
+    /// back to `from`.
+    fn propagate(&mut self, box_index: usize, from: Option<usize>) {
         let now = self.timeline.clock();
-        let collectors = DOMAINS.min(self.setting.boxes);
-        if at >= collectors {
-            let told = self.tables[at].changes(ChangeOrigin::Own, now);
-            return self.post(at, at % collectors, &told);
+        let collectors = DOMAINS.min(self.parameters.boxes);
+        if box_index >= collectors {
+            let reports = self.tables[box_index].changes(ChangeOrigin::Own, now);
+            return self.send_reports(box_index, box_index % collectors, &reports);
         }
-        let told = self.tables[at].changes(ChangeOrigin::Any, now);
-        let reporters = (at..self.setting.boxes).step_by(collectors).skip(1);
+        let reports = self.tables[box_index].changes(ChangeOrigin::Any, now);
+        let reporters = (box_index..self.parameters.boxes)
+            .step_by(collectors)
+            .skip(1);
         for to in reporters.chain(0..collectors) {
-            if to != at && Some(to) != from {
-                self.post(at, to, &told);
+            if to != box_index && Some(to) != from {
+                self.send_reports(box_index, to, &reports);
             }
         }
     }
 
-    fn post(&mut self, from: usize, to: usize, told: &[SuspectReport]) {
-        if told.is_empty() {
+    fn send_reports(&mut self, from: usize, to: usize, reports: &[SuspectReport]) {
+        if reports.is_empty() {
             return;
         }
-        let told = told.to_vec();
-        let bytes = load::encode(&Message::Suspects(told.clone())).len() as u64;
+        let reports = reports.to_vec();
+        let bytes = load::encode(&Message::Suspects(reports.clone())).len() as u64;
         self.bytes[from] += bytes;
         self.bytes[to] += bytes;
-        if self.rng.random_bool(self.setting.loss) {
+        if self.rng.random_bool(self.parameters.loss) {
             return;
         }
-        let place = self.post.len();
-        self.post.push(Some(Datagram { from, to, told }));
-        self.timeline.schedule(DELAY_US, Event::Arrival(place));
+        let index = self.datagrams.len();
+        self.datagrams.push(Some(Datagram { from, to, reports }));
+        self.timeline.schedule(DELAY_US, Event::Arrival(index));
     }
 
-    fn arrive(&mut self, place: usize) {
+    fn arrive(&mut self, index: usize) {
         let now = self.timeline.clock();
-        let Some(Datagram { from, to, told }) = self.post[place].take() else {
+        let Some(Datagram { from, to, reports }) = self.datagrams[index].take() else {
             return;
         };
-        let heard = told.iter().map(|told| self.tables[to].receive(told, now));
-        let is_news = heard.fold(false, |any, news| any | news);
-        self.note_stopped(to);
-        if is_news && to < DOMAINS {
-            self.tell(to, Some(from));
+        let changed = reports
+            .iter()
+            .map(|report| self.tables[to].receive(report, now));
+        let has_changed = changed.fold(false, |any, is_changed| any | is_changed);
+        self.record_quarantine(to);
+        if has_changed && to < DOMAINS {
+            self.propagate(to, Some(from));
         }
     }
 }
--- a/reachtally-bench/src/timeline.rs
+++ b/reachtally-bench/src/timeline.rs
@@ -1,4 +1,4 @@
-//! A virtual clock with events in order.
+//! A virtual clock with a queue of events.
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
@@ -6,7 +6,7 @@
 
 use reachtally_core::Instant;
 
-/// Events to come; those of one moment happen in the order in which they were scheduled.
+/// Pending events by time; events of the same time are in the order in which they were scheduled.
 #[derive(Debug)]
 pub struct Timeline<E: Ord> {
     now_us: u64,
@@ -15,7 +15,7 @@
 }
 
 impl<E: Ord> Timeline<E> {
-    /// A timeline at 0 without events.
+    /// Creates a timeline at time 0 without events.
     pub fn new() -> Self {
         Timeline {
             now_us: 0,
@@ -24,24 +24,24 @@
         }
     }
 
-    /// The time, in µs.
+    /// The current time, in µs.
     pub fn now_us(&self) -> u64 {
         self.now_us
     }
 
-    /// The time.
+    /// The current time.
     pub fn clock(&self) -> Instant {
         Instant::from_elapsed(Duration::from_micros(self.now_us))
     }
 
-    /// Schedules an event after this many µs.
+    /// Schedules an event `after_us` µs from now.
     pub fn schedule(&mut self, after_us: u64, event: E) {
         self.order += 1;
         let at = self.now_us + after_us;
         self.events.push(Reverse((at, self.order, event)));
     }
 
-    /// Moves the clock to the next event before `end_us`, and returns the event.
+    /// Advances the clock to the next event before `end_us` and returns that event.
     pub fn next_before(&mut self, end_us: u64) -> Option<E> {
         let Reverse((at, _, event)) = self.events.pop()?;
         if at >= end_us {
