--- a/reachtally-bench/src/faults.rs
+++ b/reachtally-bench/src/faults.rs
@@ -1,9 +1,9 @@
-//! A soak of several daemons and stand-ins, each a process, under faults, against the ledgers.
+//! Soak test of several daemons and stand-ins as processes under faults, checked against the ledgers.
 
 mod callers;
+mod checks;
 mod fleet;
 mod inject;
-mod judge;
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -19,12 +19,12 @@
 use self::callers::Tally;
 use self::fleet::Fleet;
 
-/// Callers at the same time.
+/// Number of concurrent callers.
 const CALLERS: u64 = 24;
-/// Time after the last fault in which every request ends.
-const SETTLE: Duration = Duration::from_secs(20);
+/// Time after the last fault within which every request ends.
+const SETTLE_TIME: Duration = Duration::from_secs(20);
 
-/// How long, and which faults.
+/// Command-line options of the soak test.
 #[derive(Debug, Clone, Bpaf)]
 pub struct Options {
     /// Seconds of load under faults
@@ -35,7 +35,7 @@
     seed: u64,
 }
 
-/// Run the soak.
+/// Runs the soak test.
 pub async fn run(options: Options) -> Result<Report, String> {
     let fleet = Arc::new(fleet::start().await?);
     let until = Instant::now() + Duration::from_secs(options.seconds);
@@ -44,7 +44,7 @@
         let rng = ChaCha8Rng::seed_from_u64(options.seed.wrapping_mul(1000) + caller);
         load.spawn(callers::call_until(fleet.clone(), until, caller, rng));
     }
-    let watch = tokio::spawn(judge::watch_offsets(fleet.clone(), until));
+    let watch = tokio::spawn(checks::watch_offsets(fleet.clone(), until));
     let rng = ChaCha8Rng::seed_from_u64(options.seed);
     let injected = inject::inject_until(&fleet, until, rng).await?;
     let mut tally = Tally::default();
@@ -54,7 +54,7 @@
         }
         Ok::<(), String>(())
     };
-    tokio::time::timeout(SETTLE + SETTLE, settled)
+    tokio::time::timeout(SETTLE_TIME + SETTLE_TIME, settled)
         .await
         .map_err(|_| "callers were left without an answer".to_owned())??;
     let mut report = Report::default();
@@ -62,7 +62,7 @@
     report
         .violations
         .extend(watch.await.map_err(|err| err.to_string())?);
-    judge::orders(&fleet, &tally, &mut report).await?;
+    checks::orders(&fleet, &tally, &mut report).await?;
     for (kind, count) in injected {
         report.add(&format!("fault: {kind}"), f64::from(count), "", Goal::None);
     }
@@ -78,5 +78,5 @@
     Ok(report)
 }
 
-/// The fleet as the parts of the soak share it.
-type Shared = Arc<Fleet>;
+/// The fleet, shared by the tasks of the soak test.
+type SharedFleet = Arc<Fleet>;
--- a/reachtally-bench/src/faults/callers.rs
+++ b/reachtally-bench/src/faults/callers.rs
@@ -1,4 +1,4 @@
-//! Callers: completions and orders, tried again through other boxes as callers do.
+//! Callers that send completions and orders, and retry orders through other boxes.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -10,43 +10,43 @@
 use serde_json::{Value, json};
 use tokio::time::Instant;
 
-use super::Shared;
-use super::fleet::{LAYERS, Managed};
+use super::SharedFleet;
+use super::fleet::{LAYERS, ManagedProcess};
 use crate::setup::{KEY, MODEL};
 
-/// Times an order is tried with the same key.
-const TRIES: u32 = 3;
-/// Longest time for one try; longer than the daemons' patience.
-const TRY_TIME: Duration = Duration::from_secs(40);
+/// Attempts per order, all with the same idempotency key.
+const MAX_ATTEMPTS: u32 = 3;
+/// Timeout of an attempt; longer than the daemons' patience.
+const ATTEMPT_TIMEOUT: Duration = Duration::from_secs(40);
 
-/// What one try of an order was told.
+/// Outcome of an attempt, as the caller was told.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Told {
-    /// It ran, and here is the answer.
+pub enum OrderOutcome {
+    /// The order ran and was answered.
     Completed,
-    /// It did not run.
+    /// The order did not run.
     NotRun,
-    /// It may have run, or the connection broke.
+    /// The order may have run, or the connection broke.
     Unknown,
 }
 
-/// Counts over all callers.
+/// Counts of one or several callers.
 #[derive(Debug, Default)]
 pub struct Tally {
-    /// What was told of each order, by key.
-    pub orders: BTreeMap<String, Vec<Told>>,
-    /// Broken promises.
+    /// Outcomes of all attempts of each order, by idempotency key.
+    pub orders: BTreeMap<String, Vec<OrderOutcome>>,
+    /// Violated guarantees, one message each.
     pub violations: Vec<String>,
     completions: u64,
     completed: u64,
     not_run: u64,
     unknown: u64,
-    cut_by_death: u64,
+    cut_by_crash: u64,
     unreached: u64,
 }
 
 impl Tally {
-    /// Add another caller's counts.
+    /// Adds the counts of another caller.
     pub fn add(&mut self, other: Tally) {
         self.orders.extend(other.orders);
         self.violations.extend(other.violations);
@@ -54,11 +54,11 @@
         self.completed += other.completed;
         self.not_run += other.not_run;
         self.unknown += other.unknown;
-        self.cut_by_death += other.cut_by_death;
+        self.cut_by_crash += other.cut_by_crash;
         self.unreached += other.unreached;
     }
 
-    /// The counts by name.
+    /// Returns the counts with their labels.
     pub fn counts(&self) -> [(&'static str, u64); 7] {
         [
             ("completions asked", self.completions),
@@ -67,7 +67,7 @@
             ("completions unknown", self.unknown),
             (
                 "completions cut by their entry box's death",
-                self.cut_by_death,
+                self.cut_by_crash,
             ),
             ("completions whose entry box was down", self.unreached),
             ("orders", self.orders.len() as u64),
@@ -75,8 +75,13 @@
     }
 }
 
-/// Call until the time is over.
-pub async fn call_until(fleet: Shared, until: Instant, caller: u64, mut rng: ChaCha8Rng) -> Tally {
+/// Sends requests until a time.
+pub async fn call_until(
+    fleet: SharedFleet,
+    until: Instant,
+    caller: u64,
+    mut rng: ChaCha8Rng,
+) -> Tally {
     let mut tally = Tally::default();
     let mut number = 0;
     while Instant::now() < until {
@@ -94,8 +99,8 @@
 }
 
 async fn completion(
-    fleet: &Shared,
-    daemon: &Managed,
+    fleet: &SharedFleet,
+    daemon: &ManagedProcess,
     prompt: &str,
     tokens: u32,
     tally: &mut Tally,
@@ -107,7 +112,7 @@
     let sent = req
         .bearer_auth(KEY)
         .json(&body)
-        .timeout(TRY_TIME)
+        .timeout(ATTEMPT_TIMEOUT)
         .send()
         .await;
     let answer = match sent {
@@ -141,7 +146,7 @@
             }
         }
         Some(_) => tally.unknown += 1,
-        None if disturbed => tally.cut_by_death += 1,
+        None if disturbed => tally.cut_by_crash += 1,
         None => tally
             .violations
             .push(format!("{prompt}: cut off without an outcome")),
@@ -154,7 +159,7 @@
     outcome: Option<String>,
 }
 
-/// Read a stream to its end, or a refusal.
+/// Reads a stream to its end, or a refusal.
 async fn read(mut response: Response) -> Answer {
     let header = response.headers().get("reachtally-outcome");
     let mut answer = Answer {
@@ -167,14 +172,14 @@
     while let Ok(Some(chunk)) = response.chunk().await {
         rest.push_str(&String::from_utf8_lossy(&chunk));
         while let Some((line, after)) = rest.split_once('\n') {
-            take_line(line, &mut answer);
+            parse_line(line, &mut answer);
             rest = after.to_owned();
         }
     }
     answer
 }
 
-fn take_line(line: &str, answer: &mut Answer) {
+fn parse_line(line: &str, answer: &mut Answer) {
     let Some(data) = line.strip_prefix("data: ") else {
         return;
     };
@@ -187,21 +192,21 @@
         .push_str(value["choices"][0]["text"].as_str().unwrap_or_default());
 }
 
-/// Order once, and try again through any box while the answer is not final.
-async fn order(fleet: &Shared, key: String, rng: &mut ChaCha8Rng, tally: &mut Tally) {
-    let mut told = Vec::new();
-    for _ in 0..TRIES {
+/// Sends an order, and retries through random boxes until it completes.
+async fn order(fleet: &SharedFleet, key: String, rng: &mut ChaCha8Rng, tally: &mut Tally) {
+    let mut outcomes = Vec::new();
+    for _ in 0..MAX_ATTEMPTS {
         let at = rng.random_range(0..fleet.daemons.len());
-        let answer = try_order(fleet, &fleet.daemons[at], &key).await;
-        told.push(answer);
-        if answer == Told::Completed {
+        let answer = attempt_order(fleet, &fleet.daemons[at], &key).await;
+        outcomes.push(answer);
+        if answer == OrderOutcome::Completed {
             break;
         }
     }
-    tally.orders.insert(key, told);
+    tally.orders.insert(key, outcomes);
 }
 
-async fn try_order(fleet: &Shared, daemon: &Managed, key: &str) -> Told {
+async fn attempt_order(fleet: &SharedFleet, daemon: &ManagedProcess, key: &str) -> OrderOutcome {
     let req = fleet
         .client
         .post(format!("{}/services/orders/new", daemon.url));
@@ -209,13 +214,13 @@
         .bearer_auth(KEY)
         .header("Idempotency-Key", key)
         .body("ten pallets");
-    let Ok(response) = req.timeout(TRY_TIME).send().await else {
-        return Told::Unknown;
+    let Ok(response) = req.timeout(ATTEMPT_TIMEOUT).send().await else {
+        return OrderOutcome::Unknown;
     };
     let outcome = response.headers().get("reachtally-outcome");
     match outcome.and_then(|value| value.to_str().ok()) {
-        Some("completed") => Told::Completed,
-        Some("not-run") => Told::NotRun,
-        _ => Told::Unknown,
+        Some("completed") => OrderOutcome::Completed,
+        Some("not-run") => OrderOutcome::NotRun,
+        _ => OrderOutcome::Unknown,
     }
 }
--- a/reachtally-bench/src/faults/judge.rs
+++ b/reachtally-bench/src/faults/checks.rs
@@ -1,4 +1,4 @@
-//! What was told against what ran.
+//! Checks what callers were told against what ran.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -6,17 +6,17 @@
 use serde_json::Value;
 use tokio::time::{Instant, sleep};
 
-use super::Shared;
-use super::callers::{Tally, Told};
-use super::fleet::Managed;
+use super::SharedFleet;
+use super::callers::{OrderOutcome, Tally};
+use super::fleet::ManagedProcess;
 use crate::report::{Goal, Report};
 use crate::setup::OPERATOR_KEY;
 
-/// Time between two looks at a daemon's configuration offset.
+/// Polling interval of the daemons' configuration offsets.
 const WATCH_INTERVAL: Duration = Duration::from_millis(200);
 
-/// Compare what callers were told of their orders with the service's own count.
-pub async fn orders(fleet: &Shared, tally: &Tally, report: &mut Report) -> Result<(), String> {
+/// Compares the outcomes that callers were told with the runs that the service counted.
+pub async fn orders(fleet: &SharedFleet, tally: &Tally, report: &mut Report) -> Result<(), String> {
     let url = format!("{}/runs", fleet.orders.url);
     let response = fleet
         .client
@@ -26,15 +26,17 @@
         .map_err(|err| err.to_string())?;
     let runs: BTreeMap<String, u32> = response.json().await.map_err(|err| err.to_string())?;
     let mut kinds = [0u32; 3];
-    for (key, told) in &tally.orders {
+    for (key, outcomes) in &tally.orders {
         let times = runs.get(key).copied().unwrap_or(0);
         if times > 1 {
             report
                 .violations
                 .push(format!("order {key} ran {times} times"));
         }
-        let completed = told.contains(&Told::Completed);
-        let only_not_run = told.iter().all(|told| *told == Told::NotRun);
+        let completed = outcomes.contains(&OrderOutcome::Completed);
+        let only_not_run = outcomes
+            .iter()
+            .all(|outcome| *outcome == OrderOutcome::NotRun);
         if completed && times == 0 {
             report
                 .violations
@@ -65,8 +67,8 @@
     Ok(())
 }
 
-/// The configuration offset of a daemon run never goes back.
-pub async fn watch_offsets(fleet: Shared, until: Instant) -> Vec<String> {
+/// Checks that the configuration offset of a daemon never decreases within a run. Returns the violations.
+pub async fn watch_offsets(fleet: SharedFleet, until: Instant) -> Vec<String> {
     let mut violations = Vec::new();
     let mut seen: Vec<(u64, u64)> = vec![(0, 0); fleet.daemons.len()];
     while Instant::now() < until {
@@ -86,7 +88,7 @@
     violations
 }
 
-async fn offset(fleet: &Shared, daemon: &Managed) -> Option<u64> {
+async fn offset(fleet: &SharedFleet, daemon: &ManagedProcess) -> Option<u64> {
     let req = fleet
         .client
         .post(format!("{}/v1/commands", daemon.operators));
--- a/reachtally-bench/src/faults/fleet.rs
+++ b/reachtally-bench/src/faults/fleet.rs
@@ -1,4 +1,4 @@
-//! The processes of the soak, which can be killed, paused and started again on the same port.
+//! Processes of the soak test, which can be killed, paused and restarted on the same port.
 
 use std::net::{SocketAddr, TcpListener};
 use std::path::PathBuf;
@@ -19,23 +19,23 @@
 use crate::process::{self, Process};
 use crate::setup::{KEY, MODEL, OPERATOR_KEY};
 
-/// Layers of the model.
+/// Number of layers of the model.
 pub const LAYERS: u32 = 12;
 const STAGES: u32 = 3;
 const REPLICAS: u32 = 2;
-/// The failure domain of each daemon.
+/// Failure domain of each daemon.
 const DOMAINS: [&str; 3] = ["d1", "d1", "d2"];
-/// Longest wait for a daemon to serve.
-const READY_TRIES: u32 = 200;
-const READY_PAUSE: Duration = Duration::from_millis(50);
+/// Number of readiness checks before the start of a daemon fails.
+const MAX_READY_POLLS: u32 = 200;
+const READY_POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// A process that can be started again.
-pub struct Managed {
-    /// Base address; for a daemon, of its callers' listener.
+/// A process that can be restarted.
+pub struct ManagedProcess {
+    /// Base address; for a daemon, that of its listener for callers.
     pub url: String,
-    /// For a daemon, base address of its operators' listener.
+    /// For a daemon, base address of its listener for operators.
     pub operators: String,
-    /// Raised by every death and pause.
+    /// Number of kills, pauses and continuations so far.
     pub disturbed: AtomicU64,
     down: AtomicBool,
     kind: Kind,
@@ -47,21 +47,21 @@
     StandIn(Vec<String>),
 }
 
-/// Everything that runs.
+/// All processes of the soak test.
 pub struct Fleet {
-    /// Entry boxes.
-    pub daemons: Vec<Managed>,
+    /// Daemons, which are the entry boxes.
+    pub daemons: Vec<ManagedProcess>,
     /// Engines.
-    pub engines: Vec<Managed>,
-    /// The service whose calls may not be repeated.
-    pub orders: Managed,
+    pub engines: Vec<ManagedProcess>,
+    /// The service whose calls must not be repeated.
+    pub orders: ManagedProcess,
     /// The log.
-    pub log: Managed,
+    pub log: ManagedProcess,
     /// The live list.
-    pub list: Managed,
-    /// The log's entrance for each failure domain.
-    pub entrances: [String; 2],
-    /// For control routes.
+    pub list: ManagedProcess,
+    /// Base address of the log for each failure domain.
+    pub log_urls: [String; 2],
+    /// Client for control routes.
     pub client: Client,
 }
 
@@ -81,7 +81,7 @@
         .unwrap_or_else(|poisoned| poisoned.into_inner())
 }
 
-impl Managed {
+impl ManagedProcess {
     fn lock(&self) -> MutexGuard<'_, Option<Process>> {
         lock(&self.process)
     }
@@ -90,24 +90,24 @@
         self.disturbed.fetch_add(1, Ordering::SeqCst);
     }
 
-    /// How often it was disturbed.
+    /// Number of kills, pauses and continuations so far.
     pub fn disturbances(&self) -> u64 {
         self.disturbed.load(Ordering::SeqCst)
     }
 
-    /// Kill it. It counts as down from before it dies, since its connections break on the way.
+    /// Kills the process. It counts as down already before, since its connections break while it dies.
     pub fn kill(&self) {
         self.down.store(true, Ordering::SeqCst);
         self.disturb();
         self.lock().take();
     }
 
-    /// Whether it is dying or dead.
+    /// Whether the process is being killed or was killed.
     pub fn is_down(&self) -> bool {
         self.down.load(Ordering::SeqCst)
     }
 
-    /// Start it again after a kill.
+    /// Restarts the process after a kill.
     pub fn start(&self) -> Result<(), String> {
         let process = match &self.kind {
             Kind::Daemon(settings) => process::daemon(settings)?,
@@ -118,58 +118,58 @@
         Ok(())
     }
 
-    /// Stop or continue it, as the system does to a process that is starved.
+    /// Sends a signal to the process. `SIGSTOP` and `SIGCONT` emulate a process that the system starves.
     pub fn signal(&self, signal: Signal) {
         self.disturb();
         if let Some(process) = &*self.lock() {
-            // It may just have ended.
+            // The process may have exited already.
             kill(Pid::from_raw(process.id() as i32), signal).ok();
         }
     }
 
-    /// Inject a fault by its control route.
+    /// Injects a fault through the control route of a stand-in.
     pub async fn fault(&self, client: &Client, fault: &Value) {
         let url = format!("{}/faults", self.url);
-        // A stand-in that is paused or dead does not take it.
+        // Errors are ignored, since the stand-in may be paused or dead.
         client
             .post(url)
             .json(fault)
-            .timeout(READY_PAUSE * 10)
+            .timeout(READY_POLL_INTERVAL * 10)
             .send()
             .await
             .ok();
     }
 }
 
-fn stand_in(arguments: &str) -> Result<Managed, String> {
+fn start_stand_in(arguments: &str) -> Result<ManagedProcess, String> {
     let arguments: Vec<String> = arguments.split_whitespace().map(str::to_owned).collect();
     let (process, url) = process::standin(&arguments)?;
     let port = url.rsplit(':').next().unwrap_or_default().to_owned();
-    let again = [arguments, vec!["--port".to_owned(), port]].concat();
-    Ok(Managed {
+    let restart_arguments = [arguments, vec!["--port".to_owned(), port]].concat();
+    Ok(ManagedProcess {
         url,
         operators: String::new(),
         disturbed: AtomicU64::new(0),
         down: AtomicBool::new(false),
-        kind: Kind::StandIn(again),
+        kind: Kind::StandIn(restart_arguments),
         process: Mutex::new(Some(process)),
     })
 }
 
-/// Start everything and wait until every daemon serves.
+/// Starts all processes and waits until every daemon serves requests.
 pub async fn start() -> Result<Fleet, String> {
-    let entrances = [free_address()?, free_address()?];
-    let ports = entrances.map(|address| format!(" --entrance {}", address.port()));
-    let log = stand_in(&format!("log{}", ports.concat()))?;
-    let list = stand_in("list")?;
-    let orders = stand_in("service")?;
+    let log_urls = [free_address()?, free_address()?];
+    let ports = log_urls.map(|address| format!(" --entrance {}", address.port()));
+    let log = start_stand_in(&format!("log{}", ports.concat()))?;
+    let list = start_stand_in("list")?;
+    let orders = start_stand_in("service")?;
     let mut engines = Vec::new();
     let mut declared = Vec::new();
     let each = LAYERS / STAGES;
     for stage in 0..STAGES {
         for replica in 0..REPLICAS {
             let (first, end) = (stage * each, (stage + 1) * each);
-            let engine = stand_in(&format!(
+            let engine = start_stand_in(&format!(
                 "engine --first {first} --end {end} --model-layers {LAYERS} --base-us 2000"
             ))?;
             declared.push(declared_engine(
@@ -186,11 +186,11 @@
     let mut daemons = Vec::new();
     for (number, domain) in DOMAINS.iter().enumerate() {
         let entrance = if *domain == DOMAINS[0] { 0 } else { 1 };
-        let log = format!("http://{}", entrances[entrance]);
+        let log = format!("http://{}", log_urls[entrance]);
         daemons.push(daemon(number, domain, &log, &list.url)?);
     }
     let fleet = Fleet {
-        entrances: entrances.map(|address| format!("http://{address}")),
+        log_urls: log_urls.map(|address| format!("http://{address}")),
         daemons,
         engines,
         orders,
@@ -198,7 +198,7 @@
         list,
         client,
     };
-    show_list(&fleet).await?;
+    list_boxes(&fleet).await?;
     for daemon in &fleet.daemons {
         wait_ready(&fleet.client, &daemon.url).await?;
     }
@@ -263,7 +263,7 @@
     listener.local_addr().map_err(|err| err.to_string())
 }
 
-fn daemon(number: usize, domain: &str, log: &str, list: &str) -> Result<Managed, String> {
+fn daemon(number: usize, domain: &str, log: &str, list: &str) -> Result<ManagedProcess, String> {
     let (callers, operators, peer) = (free_address()?, free_address()?, free_address()?);
     let hash = keys::hash(OPERATOR_KEY);
     let text = format!(
@@ -275,7 +275,7 @@
     let settings = std::env::temp_dir().join(name);
     std::fs::write(&settings, text).map_err(|err| err.to_string())?;
     let process = process::daemon(&settings)?;
-    Ok(Managed {
+    Ok(ManagedProcess {
         url: format!("http://{callers}"),
         operators: format!("http://{operators}"),
         disturbed: AtomicU64::new(0),
@@ -285,18 +285,18 @@
     })
 }
 
-/// Show every engine's box.
-async fn show_list(fleet: &Fleet) -> Result<(), String> {
+/// Adds the box of every engine to the live list.
+async fn list_boxes(fleet: &Fleet) -> Result<(), String> {
     for stage in 0..STAGES {
         for replica in 0..REPLICAS {
-            show_box(fleet, &format!("t{stage}{replica}"), false).await?;
+            list_box(fleet, &format!("t{stage}{replica}"), false).await?;
         }
     }
     Ok(())
 }
 
-/// Show one box, as leaving or not.
-pub async fn show_box(fleet: &Fleet, name: &str, leaving: bool) -> Result<(), String> {
+/// Adds or updates a box in the live list, as leaving or not.
+pub async fn list_box(fleet: &Fleet, name: &str, leaving: bool) -> Result<(), String> {
     let body = serde_json::json!({"name": name, "leaving": leaving});
     let req = fleet
         .client
@@ -305,22 +305,22 @@
     req.send().await.map(|_| ()).map_err(|err| err.to_string())
 }
 
-/// Cut a failure domain off from the log, or heal the cut.
-pub async fn cut(fleet: &Fleet, domain: usize, is_cut: bool) -> Result<(), String> {
-    let url = format!("{}/cut", fleet.entrances[domain]);
+/// Partitions a failure domain from the log, or reconnects it.
+pub async fn set_partitioned(fleet: &Fleet, domain: usize, is_cut: bool) -> Result<(), String> {
+    let url = format!("{}/cut", fleet.log_urls[domain]);
     let sent = fleet.client.post(url).json(&is_cut).send().await;
     sent.map(|_| ()).map_err(|err| err.to_string())
 }
 
-/// Wait until a daemon serves.
+/// Waits until a daemon serves requests.
 pub async fn wait_ready(client: &Client, url: &str) -> Result<(), String> {
-    for _ in 0..READY_TRIES {
+    for _ in 0..MAX_READY_POLLS {
         let req = client.get(format!("{url}/v1/models")).bearer_auth(KEY);
-        let answer = req.timeout(READY_PAUSE * 10).send().await;
+        let answer = req.timeout(READY_POLL_INTERVAL * 10).send().await;
         if answer.is_ok_and(|answer| answer.status().is_success()) {
             return Ok(());
         }
-        tokio::time::sleep(READY_PAUSE).await;
+        tokio::time::sleep(READY_POLL_INTERVAL).await;
     }
     Err(format!("the daemon at {url} does not get ready"))
 }
--- a/reachtally-bench/src/faults/inject.rs
+++ b/reachtally-bench/src/faults/inject.rs
@@ -1,4 +1,4 @@
-//! Faults: kills, pauses, lost and doubled answers, outages, operators who race.
+//! Fault injection: kills, pauses, lost and duplicated answers, outages, partitions and racing operators.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -11,40 +11,39 @@
 use serde_json::json;
 use tokio::time::{Instant, sleep};
 
-use super::Shared;
-use super::fleet::{Managed, cut, show_box};
+use super::SharedFleet;
+use super::fleet::{ManagedProcess, list_box, set_partitioned};
 use crate::setup::OPERATOR_KEY;
 
-/// Time between two faults, in milliseconds.
-const PAUSE_MS: std::ops::Range<u64> = 200..900;
+/// Time between two faults, in ms.
+const FAULT_INTERVAL_MS: std::ops::Range<u64> = 200..900;
 
-/// Inject faults until the time is over; yields how many of each kind. At the end everything runs
-/// again.
+/// Injects faults until a time and returns their number by kind. All processes run again when it returns.
 pub async fn inject_until(
-    fleet: &Shared,
+    fleet: &SharedFleet,
     until: Instant,
     mut rng: ChaCha8Rng,
 ) -> Result<BTreeMap<&'static str, u32>, String> {
     let mut counts = BTreeMap::new();
     while Instant::now() < until {
-        let kind = one(fleet, &mut rng).await?;
+        let kind = inject_one(fleet, &mut rng).await?;
         *counts.entry(kind).or_default() += 1;
-        sleep(Duration::from_millis(rng.random_range(PAUSE_MS))).await;
+        sleep(Duration::from_millis(rng.random_range(FAULT_INTERVAL_MS))).await;
     }
     fleet.log.fault(&fleet.client, &json!({})).await;
     Ok(counts)
 }
 
-fn any<'a>(of: &'a [Managed], rng: &mut ChaCha8Rng) -> &'a Managed {
+fn random<'a>(of: &'a [ManagedProcess], rng: &mut ChaCha8Rng) -> &'a ManagedProcess {
     &of[rng.random_range(0..of.len())]
 }
 
-/// Inject one fault, and undo it where that is part of it.
-async fn one(fleet: &Shared, rng: &mut ChaCha8Rng) -> Result<&'static str, String> {
+/// Injects a random fault, reverts it if it is temporary, and returns its label.
+async fn inject_one(fleet: &SharedFleet, rng: &mut ChaCha8Rng) -> Result<&'static str, String> {
     let client = &fleet.client;
     let time = Duration::from_millis(rng.random_range(500..3000));
-    let engine = any(&fleet.engines, rng);
-    let daemon = any(&fleet.daemons, rng);
+    let engine = random(&fleet.engines, rng);
+    let daemon = random(&fleet.daemons, rng);
     let count = rng.random_range(1..4);
     Ok(match rng.random_range(0..14) {
         0 => {
@@ -110,20 +109,20 @@
         }
         11 => {
             let name = format!("t{}{}", rng.random_range(0..3), rng.random_range(0..2));
-            show_box(fleet, &name, true).await?;
+            list_box(fleet, &name, true).await?;
             sleep(time).await;
-            show_box(fleet, &name, false).await?;
+            list_box(fleet, &name, false).await?;
             "box leaving, and back"
         }
         12 => {
-            let domain = rng.random_range(0..fleet.entrances.len());
-            cut(fleet, domain, true).await?;
+            let domain = rng.random_range(0..fleet.log_urls.len());
+            set_partitioned(fleet, domain, true).await?;
             sleep(time * 2).await;
-            cut(fleet, domain, false).await?;
+            set_partitioned(fleet, domain, false).await?;
             "failure domain cut off from the log"
         }
         _ => {
-            let other = any(&fleet.daemons, rng);
+            let other = random(&fleet.daemons, rng);
             let max = rng.random_range(1..1000);
             tokio::join!(apply(fleet, daemon, max), apply(fleet, other, max + 1));
             "operators race"
@@ -131,8 +130,8 @@
     })
 }
 
-/// Publish an account that nobody uses; the log and the daemon may be in any state.
-async fn apply(fleet: &Shared, daemon: &Managed, max_running: u32) {
+/// Publishes an unused account. Errors are ignored, since the log and the daemon may be in any state.
+async fn apply(fleet: &SharedFleet, daemon: &ManagedProcess, max_running: u32) {
     let account = Object::Account(Account {
         name: "raced".to_owned(),
         key_hashes: vec![keys::hash("raced")],
