--- a/reachtally-bench/src/claims.rs
+++ b/reachtally-bench/src/claims.rs
@@ -1,7 +1,7 @@
-//! Requests that may run once: how many share an append, and that none runs twice.
+//! At-most-once requests: measures how many share an append to the log, and checks that none runs twice.
 //!
-//! The shipped core of several daemons on a virtual clock, under lost answers, lost appends, pauses,
-//! cuts, deaths and retries through other boxes.
+//! Runs the production core of several daemons on a virtual clock, under lost answers, lost appends, pauses, partitions, restarts
+//! and retries through other boxes.
 
 use std::time::Duration;
 
@@ -14,25 +14,25 @@
 use reachtally_standin::fabric::{End, Fabric};
 
 use crate::report::{Goal, Report};
-use crate::scene::{self, Fleet};
+use crate::sim::{self, Fleet};
 
-/// Least requests for each append at saturation.
-const PER_APPEND_LEAST: f64 = 100.0;
-/// Daemons of one user today.
+/// Smallest allowed number of requests per append at saturation.
+const MIN_REQUESTS_PER_APPEND: f64 = 100.0;
+/// Number of daemons, that of one user today.
 const DAEMONS: usize = 8;
-/// Time between two arrivals of the load at one daemon.
-const TICK: Duration = Duration::from_millis(10);
-/// Time after the load in which everything ends.
-const SETTLE: Duration = Duration::from_secs(60);
-/// One retry for so many requests, through another box and with the same key.
+/// Interval at which requests arrive at each daemon.
+const ARRIVAL_INTERVAL: Duration = Duration::from_millis(10);
+/// Time after the load within which every request ends.
+const SETTLE_TIME: Duration = Duration::from_secs(60);
+/// One of this many requests is a retry, which repeats a random earlier key.
 const RETRY_ONE_IN: u32 = 4;
-/// One fault for so many ticks.
+/// One fault is injected in this many ticks.
 const FAULT_ONE_IN: u32 = 20;
 
-/// What to measure.
+/// Command-line options of the experiment.
 #[derive(Debug, Clone, Bpaf)]
 pub struct Options {
-    /// Requests a second at each daemon, at saturation
+    /// Requests per second at each daemon, at saturation
     #[bpaf(argument("N"), fallback(3000))]
     rate: u32,
     /// Seconds of load
@@ -43,7 +43,7 @@
     seed: u64,
 }
 
-/// Run the experiment.
+/// Runs the experiment.
 pub fn run(options: &Options) -> Result<Report, String> {
     let mut report = Report::default();
     saturate(options, &mut report);
@@ -59,11 +59,11 @@
         step_time: StepTime::NONE,
         slots: 1,
     };
-    scene::fabric(DAEMONS, fleet, &Limits::default())
+    sim::fabric(DAEMONS, fleet, &Limits::default())
 }
 
-/// The most that any key ran.
-fn most_runs(fabric: &Fabric) -> u32 {
+/// Returns the largest number of runs of any key.
+fn max_runs(fabric: &Fabric) -> u32 {
     let services = fabric.services.values();
     services
         .flat_map(|service| service.runs.values().copied())
@@ -73,23 +73,20 @@
 
 fn saturate(options: &Options, report: &mut Report) {
     let mut fabric = fabric();
-    let ticks = options.seconds * 1000 / TICK.as_millis() as u32;
-    let each = options.rate * TICK.as_millis() as u32 / 1000;
+    let ticks = options.seconds * 1000 / ARRIVAL_INTERVAL.as_millis() as u32;
+    let each = options.rate * ARRIVAL_INTERVAL.as_millis() as u32 / 1000;
     let mut number = 0u64;
     let mut keys = Vec::new();
     for _ in 0..ticks {
         for daemon in 0..DAEMONS {
             for _ in 0..each {
                 number += 1;
-                keys.push((
-                    daemon,
-                    fabric.ask(daemon, scene::order(&number.to_string())),
-                ));
+                keys.push((daemon, fabric.ask(daemon, sim::order(&number.to_string()))));
             }
         }
-        fabric.run_for(TICK);
+        fabric.run_for(ARRIVAL_INTERVAL);
     }
-    fabric.run_for(SETTLE);
+    fabric.run_for(SETTLE_TIME);
     let appends = fabric.log.claims.len() as f64;
     let done = |(daemon, key): &&(usize, RequestKey)| {
         matches!(
@@ -116,9 +113,9 @@
         "requests for each append",
         share,
         "req",
-        Goal::AtLeast(PER_APPEND_LEAST),
+        Goal::AtLeast(MIN_REQUESTS_PER_APPEND),
     );
-    let runs = most_runs(&fabric);
+    let runs = max_runs(&fabric);
     if runs != 1 || completed < keys.len() as f64 {
         let asked = keys.len();
         report.violations.push(format!(
@@ -127,7 +124,7 @@
     }
 }
 
-/// Counts of what was injected and how requests ended.
+/// Counts of faults, retries and outcomes.
 #[derive(Default)]
 struct Tally {
     faults: u32,
@@ -144,7 +141,7 @@
     let mut tally = Tally::default();
     let mut asked: Vec<(u64, usize, RequestKey)> = Vec::new();
     let mut ended: Vec<(u64, End)> = Vec::new();
-    let ticks = options.seconds * 1000 / TICK.as_millis() as u32;
+    let ticks = options.seconds * 1000 / ARRIVAL_INTERVAL.as_millis() as u32;
     let mut number = 0;
     for _ in 0..ticks {
         if rng.random_range(0..FAULT_ONE_IN) == 0 {
@@ -160,13 +157,13 @@
                 number += 1;
                 number
             };
-            let row = fabric.ask(daemon, scene::order(&key.to_string()));
+            let row = fabric.ask(daemon, sim::order(&key.to_string()));
             asked.push((key, daemon, row));
         }
-        fabric.run_for(TICK);
+        fabric.run_for(ARRIVAL_INTERVAL);
     }
     fabric.heal_log();
-    fabric.run_for(SETTLE);
+    fabric.run_for(SETTLE_TIME);
     collect(&fabric, &mut asked, &mut ended, None);
     for (_, end) in &ended {
         match end {
@@ -176,7 +173,7 @@
             _ => tally.unknown += 1,
         }
     }
-    judge(&fabric, &ended, report);
+    check_runs(&fabric, &ended, report);
     let counts = [
         ("under faults: faults injected", tally.faults),
         ("under faults: retries", tally.retries),
@@ -188,7 +185,7 @@
     for (name, count) in counts {
         report.add(name, f64::from(count), "", Goal::None);
     }
-    let runs = f64::from(most_runs(&fabric));
+    let runs = f64::from(max_runs(&fabric));
     report.add(
         "under faults: most runs of a key",
         runs,
@@ -197,7 +194,7 @@
     );
 }
 
-/// Take the ends of requests, of one daemon whose run ends or of all.
+/// Moves the outcomes of finished requests to `ended`, of the daemon `of` or of all; unfinished ones are dropped.
 fn collect(
     fabric: &Fabric,
     asked: &mut Vec<(u64, usize, RequestKey)>,
@@ -241,9 +238,9 @@
     }
 }
 
-/// A key ran once at most, and one whose every answer was "not run" never ran.
-fn judge(fabric: &Fabric, ended: &[(u64, End)], report: &mut Report) {
-    let runs = most_runs(fabric);
+/// Checks that no key ran more than once, and that each answered key ran exactly once.
+fn check_runs(fabric: &Fabric, ended: &[(u64, End)], report: &mut Report) {
+    let runs = max_runs(fabric);
     if runs > 1 {
         report.violations.push(format!("a key ran {runs} times"));
     }
--- a/reachtally-bench/src/control.rs
+++ b/reachtally-bench/src/control.rs
@@ -1,7 +1,7 @@
-//! What control costs one daemon, against the numbers of engines, daemons, accounts and changes.
+//! Measures the control-plane cost of one daemon, by number of engines, daemons, accounts and changes.
 //!
-//! The shipped core in this process, on the real clock for its processor time. Each line is measured
-//! at four sizes; docs/CAPACITY.md is worked out from the slopes.
+//! Runs the production core in this process and measures real time. Each figure is measured at four sizes; docs/CAPACITY.md is
+//! derived from the slopes.
 
 use std::hint::black_box;
 use std::time::{Duration, Instant as Clock};
@@ -21,42 +21,42 @@
 
 use crate::report::{Goal, Report};
 
-/// Engines of a failure domain at the size of two years, and of a model's chain choice.
+/// Engines of a failure domain, up to the size expected in two years; all serve one model.
 const ENGINES: [u32; 4] = [30, 120, 270, 540];
-/// Daemons of a failure domain at the size of two years.
+/// Daemons of a failure domain, up to the size expected in two years.
 const MEMBERS: [u32; 4] = [8, 48, 96, 192];
 const CLAIMS: [u32; 4] = [1000, 10_000, 50_000, 200_000];
-/// Microseconds that a choice of a chain may take at the largest size.
-const CHOICE_US_MOST: f64 = 5.0;
-/// Bytes a second of membership, sent and received, at the largest size.
-const MEMBERSHIP_BYTES_MOST: f64 = 3000.0;
+/// Longest allowed time of a chain selection at the largest size, in µs.
+const MAX_CHOICE_US: f64 = 5.0;
+/// Largest allowed membership traffic, sent and received, at the largest size, in bytes per second.
+const MAX_MEMBERSHIP_BYTES_PER_S: f64 = 3000.0;
 const STAGES: u32 = 4;
 const LAYERS: u32 = 48;
-/// Times each figure is taken; the least counts, since noise only adds.
-const TAKES: u32 = 5;
+/// Number of measurements of each figure. The smallest counts, since noise only adds time.
+const MEASUREMENTS: u32 = 5;
 
-/// Nothing to choose yet.
+/// Command-line options of the experiment.
 #[derive(Debug, Clone, Bpaf)]
 pub struct Options {
-    /// Rounds of each measurement
+    /// Iterations of each measurement
     #[bpaf(argument("N"), fallback(2000))]
     rounds: u32,
 }
 
-/// Run the experiment.
+/// Runs the experiment.
 pub fn run(options: &Options) -> Result<Report, String> {
     let mut report = Report::default();
     for engines in ENGINES {
         let largest = engines == ENGINES[3];
-        routing(options, engines, largest, &mut report);
-        folding(engines, &mut report);
+        measure_routing(options, engines, largest, &mut report);
+        measure_folding(engines, &mut report);
     }
     for members in MEMBERS {
         let largest = members == MEMBERS[3];
-        membership(options, members, largest, &mut report)?;
+        measure_membership(options, members, largest, &mut report)?;
     }
     for claims in CLAIMS {
-        claim_memory(claims, &mut report)?;
+        measure_claims(claims, &mut report)?;
     }
     Ok(report)
 }
@@ -73,7 +73,7 @@
     }])
 }
 
-/// A world with so many engines of one model, each holding a quarter of it.
+/// Creates a world with `engines` engines of one model, each with a quarter of its layers.
 fn world(engines: u32) -> World {
     let mut objects = vec![
         Object::Model(Model {
@@ -118,28 +118,28 @@
     }
 }
 
-/// The least time that one of `rounds` calls takes on average, over several takes.
-fn time(rounds: u32, mut work: impl FnMut()) -> f64 {
-    let take = |work: &mut dyn FnMut()| {
+/// Returns the mean time of a call in µs over `rounds` calls, the smallest of several measurements.
+fn min_time_us(rounds: u32, mut work: impl FnMut()) -> f64 {
+    let measure = |work: &mut dyn FnMut()| {
         let started = Clock::now();
         for _ in 0..rounds {
             work();
         }
         started.elapsed().as_secs_f64() / f64::from(rounds) * 1e6
     };
-    (0..TAKES)
-        .map(|_| take(&mut work))
+    (0..MEASUREMENTS)
+        .map(|_| measure(&mut work))
         .fold(f64::INFINITY, f64::min)
 }
 
-fn routing(options: &Options, engines: u32, largest: bool, report: &mut Report) {
+fn measure_routing(options: &Options, engines: u32, largest: bool, report: &mut Report) {
     let mut world = world(engines);
     let mut choose = || {
         black_box(world.choose_chain("m"));
     };
-    let us = time(options.rounds, &mut choose);
+    let us = min_time_us(options.rounds, &mut choose);
     let goal = if largest {
-        Goal::AtMost(CHOICE_US_MOST)
+        Goal::AtMost(MAX_CHOICE_US)
     } else {
         Goal::None
     };
@@ -151,18 +151,18 @@
     );
     let mut out = Effects::default();
     let mut admit = || {
-        let key = world.ask(ask(), Instant::ZERO, &mut out);
+        let key = world.ask(new_request(), Instant::ZERO, &mut out);
         world.tick(Instant::ZERO, &mut out);
         world.handle(Event::Disconnected(key), Instant::ZERO, &mut out);
         world.tick(Instant::ZERO, &mut out);
         out.drain();
     };
-    let us = time(options.rounds, &mut admit);
+    let us = min_time_us(options.rounds, &mut admit);
     let name = format!("admission to first step, and hang-up, {engines} engines");
     report.add(&name, us, "us", Goal::None);
 }
 
-fn ask() -> NewRequest {
+fn new_request() -> NewRequest {
     NewRequest {
         account: "a".to_owned(),
         work: Work::Completion(Completion {
@@ -175,7 +175,7 @@
     }
 }
 
-fn folding(engines: u32, report: &mut Report) {
+fn measure_folding(engines: u32, report: &mut Report) {
     let mut world = world(engines);
     let mut out = Effects::default();
     let mut offset = 1;
@@ -186,7 +186,7 @@
         out.drain();
         offset += 1;
     };
-    let us = time(rounds, &mut fold);
+    let us = min_time_us(rounds, &mut fold);
     report.add(
         &format!("fold of one change, {engines} engines"),
         us,
@@ -207,8 +207,8 @@
     }
 }
 
-/// Digests of a daemon that knows so many others: bytes and time of one round, sent and received.
-fn membership(
+/// Measures the membership digests of a daemon that knows `members` others: bytes sent and received, and time per round.
+fn measure_membership(
     options: &Options,
     members: u32,
     largest: bool,
@@ -223,7 +223,7 @@
     let rounds = options.rounds.min(500);
     for round in 0..rounds {
         let now = Instant::ZERO + GOSSIP_INTERVAL * round;
-        // What others send: a digest as full as the own ones.
+        // A digest from another daemon, as full as the own ones.
         let first = round * 15 % members;
         let states = (0..16).map(|n| member(1 + (first + n) % members, u64::from(round) + 1));
         let received = Message::Digest(states.collect());
@@ -248,7 +248,7 @@
     let each = bytes as f64 / f64::from(digests.max(1));
     let per_s = 2.0 * each / GOSSIP_INTERVAL.as_secs_f64();
     let goal = if largest {
-        Goal::AtMost(MEMBERSHIP_BYTES_MOST)
+        Goal::AtMost(MAX_MEMBERSHIP_BYTES_PER_S)
     } else {
         Goal::None
     };
@@ -264,8 +264,8 @@
     Ok(())
 }
 
-/// Memory and time of the fold of claims with their outcomes.
-fn claim_memory(claims: u32, report: &mut Report) -> Result<(), String> {
+/// Measures memory and time of folding claims with their outcomes.
+fn measure_claims(claims: u32, report: &mut Report) -> Result<(), String> {
     let mut world = world(4);
     let mut out = Effects::default();
     let before = resident()?;
@@ -315,7 +315,7 @@
     Ok(())
 }
 
-/// Resident memory of this process in bytes.
+/// Returns the resident memory of this process in bytes.
 fn resident() -> Result<u64, String> {
     let status = std::fs::read_to_string("/proc/self/status").map_err(|err| err.to_string())?;
     crate::process::resident_of(&status).ok_or_else(|| "no resident memory is shown".to_owned())
--- a/reachtally-bench/src/drain.rs
+++ b/reachtally-bench/src/drain.rs
@@ -1,4 +1,4 @@
-//! A daemon that is told to stop with many streams open: none is cut, and how long it takes.
+//! Measures the graceful shutdown of a daemon with many open streams, and checks that no stream is cut.
 
 use std::time::{Duration, Instant};
 
@@ -12,21 +12,21 @@
 use crate::setup;
 use crate::sse;
 
-/// Most that the process may outlive its last stream.
-const LINGER_MS_MOST: f64 = 8000.0;
+/// Longest allowed time from the end of the last stream to the exit of the process, in ms.
+const MAX_LINGER_MS: f64 = 8000.0;
 
-/// What to measure.
+/// Command-line options of the experiment.
 #[derive(Debug, Clone, Bpaf)]
 pub struct Options {
-    /// Streams open when the daemon is told to stop
+    /// Streams open when the daemon receives SIGTERM
     #[bpaf(argument("N"), fallback(1000))]
     streams: u32,
-    /// Tokens of each stream
+    /// Tokens per stream
     #[bpaf(argument("N"), fallback(200))]
     tokens: u32,
 }
 
-/// Run the experiment.
+/// Runs the experiment.
 pub async fn run(options: Options) -> Result<Report, String> {
     let setup = setup::start(&setup::Options {
         stages: 3,
@@ -43,26 +43,26 @@
         let (url, tokens) = (setup.callers.clone(), options.tokens);
         streams.spawn(async move { sse::stream(&Client::new(), &url, "a b c", tokens).await });
     }
-    // Every stream is admitted by then, and none has ended: each takes three iterations a token.
+    // By then every stream is admitted and none has ended: each token takes three iterations.
     tokio::time::sleep(Duration::from_secs(2)).await;
-    let told_at = Instant::now();
+    let signaled_at = Instant::now();
     let pid = Pid::from_raw(setup.daemon.id() as i32);
     kill(pid, Signal::SIGTERM).map_err(|err| err.to_string())?;
     let mut report = Report::default();
     let mut whole = 0u32;
-    while let Some(seen) = streams.join_next().await {
-        match seen.map_err(|err| err.to_string())? {
-            Ok(seen) if seen.completed && seen.tokens == options.tokens => whole += 1,
+    while let Some(result) = streams.join_next().await {
+        match result.map_err(|err| err.to_string())? {
+            Ok(result) if result.completed && result.tokens == options.tokens => whole += 1,
             other => report
                 .violations
                 .push(format!("a stream was cut: {other:?}")),
         }
     }
-    let streamed = told_at.elapsed();
+    let streamed = signaled_at.elapsed();
     while setup.daemon.is_running() {
         tokio::time::sleep(Duration::from_millis(10)).await;
     }
-    let ended = told_at.elapsed();
+    let ended = signaled_at.elapsed();
     let ms = |time: Duration| time.as_secs_f64() * 1000.0;
     report.add(
         "streams open at the stop",
@@ -82,7 +82,7 @@
         "process ended after that",
         linger,
         "ms",
-        Goal::AtMost(LINGER_MS_MOST),
+        Goal::AtMost(MAX_LINGER_MS),
     );
     Ok(report)
 }
--- a/reachtally-bench/src/main.rs
+++ b/reachtally-bench/src/main.rs
@@ -1,7 +1,7 @@
 //! `reachtally-bench`: the load and experiment tool.
 //!
-//! Each sub-command prints a table, or with `--json` one object. It exits non-zero where a promise
-//! broke, and with `--check` also where a goal is missed.
+//! Each sub-command prints a table, or one object with `--json`. It exits with a non-zero status on a violation, and with `--check`
+//! also if a goal is missed.
 
 mod admission;
 mod boxes;
@@ -18,8 +18,8 @@
 mod recovery;
 mod relay;
 mod report;
-mod scene;
 mod setup;
+mod sim;
 mod sse;
 mod suspects;
 mod timeline;
@@ -42,51 +42,51 @@
 
 #[derive(Debug, Clone, Bpaf)]
 enum Experiment {
-    /// What the router adds to the engines' own time, and what it costs in processor and memory
+    /// Latency that the router adds to the engines', and its processor and memory cost
     #[bpaf(command)]
     Overhead(#[bpaf(external(overhead::options))] overhead::Options),
-    /// Time from a stage's death to the next token, against restarting the whole chain
+    /// Time from the failure of a stage to the next token, compared with restarting the whole chain
     #[bpaf(command)]
     Recovery(#[bpaf(external(recovery::options))] recovery::Options),
-    /// What control costs one daemon, against the sizes of the fleet
+    /// Control-plane cost of one daemon, by fleet size
     #[bpaf(command)]
     Control(#[bpaf(external(control::options))] control::Options),
-    /// A daemon that is told to stop with many streams open
+    /// Graceful shutdown of a daemon with many open streams
     #[bpaf(command)]
     Drain(#[bpaf(external(drain::options))] drain::Options),
-    /// A soak of several daemons and stand-ins as processes, under faults, against the ledgers
+    /// Soak test of several daemons and stand-ins as processes under faults, checked against the ledgers
     #[bpaf(command)]
     Faults(#[bpaf(external(faults::options))] faults::Options),
-    /// What the relay of whole requests adds, in time, processor time and memory
+    /// Latency, processor time and memory of the relay of whole requests
     #[bpaf(command)]
     Relay(#[bpaf(external(relay::options))] relay::Options),
-    /// The relay as a process of its own; started by `relay`
+    /// The relay as a separate process; started by `relay`
     #[bpaf(command("relay-box"), hide)]
     RelayBox(#[bpaf(external(relay::box_options))] relay::BoxOptions),
-    /// How well boxes that know only what they are told spread requests, against one that knows all
+    /// How evenly boxes with partial knowledge spread requests, compared with one that knows every load
     #[bpaf(command)]
     Choice(#[bpaf(external(choice::options))] choice::Options),
-    /// What the decisions on the path of a request cost, against the number of engines
+    /// Cost of the decisions on the request path, by number of engines
     #[bpaf(command)]
     Path(#[bpaf(external(path::options))] path::Options),
-    /// What plans of layers serve, whole and after losses, against simple plans and a bound
+    /// Capacity of layer placements, whole and after losses, compared with simple placements and an upper bound
     #[bpaf(command)]
     Placement(#[bpaf(external(placement::options))] placement::Options),
-    /// Requests that crash engines: how many one costs, and how soon all boxes know it
+    /// Requests that crash engines: engines lost to one, and time until all boxes quarantine it
     #[bpaf(command)]
     Suspects(#[bpaf(external(suspects::options))] suspects::Options),
-    /// Rate limits that hold for all boxes together: how well they are kept and used, by ways to share them
+    /// Rate limits shared by all boxes: enforcement and utilization, by sharing policy
     #[bpaf(command)]
     Limits(#[bpaf(external(limits::options))] limits::Options),
-    /// Requests that want more than the engines can do in time: who is answered, by ways to admit them
+    /// Demand beyond the engines' capacity: which requests are answered in time, by admission policy
     #[bpaf(command)]
     Admission(#[bpaf(external(admission::options))] admission::Options),
-    /// Requests that may run once: how many share an append, and that none runs twice
+    /// At-most-once requests: how many share an append, and that none runs twice
     #[bpaf(command)]
     Claims(#[bpaf(external(claims::options))] claims::Options),
 }
 
-/// On a thread of its own, since the relay brings its own runtime.
+/// Runs the relay on a separate thread, since it creates its own runtime.
 fn run_box(options: relay::BoxOptions) -> Result<report::Report, String> {
     let running = std::thread::spawn(move || relay::run_box(&options));
     running
--- a/reachtally-bench/src/overhead.rs
+++ b/reachtally-bench/src/overhead.rs
@@ -1,6 +1,6 @@
-//! What the router adds: time to the first token, processor time a step, memory with many streams.
+//! Measures the overhead of the router: time to the first token, processor time per step, and memory with many streams.
 //!
-//! The baseline calls the same engines directly, stage after stage, in the same run.
+//! The baseline calls the same engines directly, one stage after another, in the same run.
 
 use std::time::{Duration, Instant};
 
@@ -17,31 +17,31 @@
 use crate::setup::{self, KEY, OPERATOR_KEY, Setup};
 use crate::sse;
 
-/// Most milliseconds that the router may add to the first token at the median.
-const ADDED_MS_MOST: f64 = 0.5;
-/// Least stage steps a second on one core.
-const STEPS_PER_CORE_LEAST: f64 = 30_000.0;
-/// Most mebibytes resident with the streams open.
-const RESIDENT_MIB_MOST: f64 = 96.0;
-/// Stages of the chain.
+/// Largest allowed increase of the median time to the first token, in ms.
+const MAX_ADDED_MS: f64 = 0.5;
+/// Smallest allowed number of stage steps per second and core.
+const MIN_STEPS_PER_CORE: f64 = 30_000.0;
+/// Largest allowed resident memory with the streams open, in MiB.
+const MAX_RESIDENT_MIB: f64 = 96.0;
+/// Number of stages of the chain.
 const STAGES: u32 = 3;
-/// Requests before the clock runs.
-const WARM_UP: u32 = 50;
+/// Warm-up requests, which are not measured.
+const WARM_UP_REQUESTS: u32 = 50;
 const PROMPT: &str = "list the parts of the screw unit in hall two";
 
-/// What to measure.
+/// Command-line options of the experiment.
 #[derive(Debug, Clone, Bpaf)]
 pub struct Options {
-    /// Requests for the time to the first token
+    /// Requests in the measurement of the time to the first token
     #[bpaf(argument("N"), fallback(2000))]
     requests: u32,
-    /// Streams open at the same time
+    /// Concurrently open streams
     #[bpaf(argument("N"), fallback(1000))]
     streams: u32,
-    /// Tokens of each stream
+    /// Tokens per stream
     #[bpaf(argument("N"), fallback(300))]
     tokens: u32,
-    /// Bytes of one activation
+    /// Bytes per activation
     #[bpaf(argument("BYTES"), fallback(64))]
     activation_bytes: usize,
     /// Mebibytes of stage inputs that the daemon keeps for replay
@@ -49,7 +49,7 @@
     replay_mib: usize,
 }
 
-/// Run the experiment.
+/// Runs the experiment.
 pub async fn run(options: Options) -> Result<Report, String> {
     let setup = setup::start(&setup::Options {
         stages: STAGES,
@@ -62,39 +62,43 @@
     })
     .await?;
     let mut report = Report::default();
-    first_token(&setup, &options, &mut report).await?;
-    streams(&setup, &options, &mut report).await?;
+    measure_first_token(&setup, &options, &mut report).await?;
+    measure_streams(&setup, &options, &mut report).await?;
     Ok(report)
 }
 
-async fn first_token(setup: &Setup, options: &Options, report: &mut Report) -> Result<(), String> {
+async fn measure_first_token(
+    setup: &Setup,
+    options: &Options,
+    report: &mut Report,
+) -> Result<(), String> {
     let client = Client::new();
     let engines = HttpTargets::new().map_err(|err| err.to_string())?;
     let mut routed = histogram()?;
     let mut direct = histogram()?;
-    let mut own = histogram()?;
-    for number in 0..WARM_UP + options.requests {
+    let mut daemon_only = histogram()?;
+    for number in 0..WARM_UP_REQUESTS + options.requests {
         let sent = Instant::now();
         direct_first_token(&engines, &setup.engines, u64::from(number)).await?;
         let direct_time = sent.elapsed();
-        let seen = sse::stream(&client, &setup.callers, PROMPT, 1).await?;
-        if !seen.completed {
+        let result = sse::stream(&client, &setup.callers, PROMPT, 1).await?;
+        if !result.completed {
             report
                 .violations
                 .push("a stream ended without its outcome".to_owned());
         }
         let sent = Instant::now();
-        models(&client, &setup.callers).await?;
-        let own_time = sent.elapsed();
-        if number >= WARM_UP {
-            record(&mut own, own_time);
+        list_models(&client, &setup.callers).await?;
+        let daemon_only_time = sent.elapsed();
+        if number >= WARM_UP_REQUESTS {
+            record(&mut daemon_only, daemon_only_time);
             record(&mut direct, direct_time);
-            record(&mut routed, seen.first_token);
+            record(&mut routed, result.first_token);
         }
     }
     let ms = |histogram: &Histogram<u64>| histogram.value_at_quantile(0.5) as f64 / 1000.0;
     let name = "a call that the daemon answers itself, median";
-    report.add(name, ms(&own), "ms", Goal::None);
+    report.add(name, ms(&daemon_only), "ms", Goal::None);
     report.add(
         "first token, engines called directly, median",
         ms(&direct),
@@ -107,13 +111,13 @@
         "first token, added, median",
         added,
         "ms",
-        Goal::AtMost(ADDED_MS_MOST),
+        Goal::AtMost(MAX_ADDED_MS),
     );
     Ok(())
 }
 
-/// A call that no engine takes part in.
-async fn models(client: &Client, callers: &str) -> Result<(), String> {
+/// Lists the models, a call that the daemon answers without an engine.
+async fn list_models(client: &Client, callers: &str) -> Result<(), String> {
     let req = client.get(format!("{callers}/v1/models")).bearer_auth(KEY);
     let response = req.send().await.map_err(|err| err.to_string())?;
     let body = response.bytes().await;
@@ -125,11 +129,11 @@
 }
 
 fn record(histogram: &mut Histogram<u64>, time: Duration) {
-    // A histogram without an upper bound takes every value.
+    // Recording cannot fail, since the histogram has no upper bound.
     histogram.record(time.as_micros() as u64).ok();
 }
 
-/// The prompt through every stage, as a caller without a router would send it.
+/// Sends the prompt through every stage, like a caller without a router.
 async fn direct_first_token(
     engines: &HttpTargets,
     urls: &[String],
@@ -179,16 +183,20 @@
     Err("the last stage gave no token".to_owned())
 }
 
-/// Many streams at once: processor time a step, and memory.
-async fn streams(setup: &Setup, options: &Options, report: &mut Report) -> Result<(), String> {
-    let steps_before = counter(setup, "engine_steps").await?;
-    let calls_before = counter(setup, "engine_calls").await?;
+/// Measures processor time per step and memory with concurrent streams.
+async fn measure_streams(
+    setup: &Setup,
+    options: &Options,
+    report: &mut Report,
+) -> Result<(), String> {
+    let steps_before = read_counter(setup, "engine_steps").await?;
+    let calls_before = read_counter(setup, "engine_calls").await?;
     let cpu_before = setup.daemon.cpu();
     let started = Instant::now();
     let mut callers = JoinSet::new();
     for _ in 0..options.streams {
         let (url, tokens) = (setup.callers.clone(), options.tokens);
-        // A client of its own each, so that every stream is a connection.
+        // Each stream has its own client and therefore its own connection.
         callers.spawn(async move { sse::stream(&Client::new(), &url, PROMPT, tokens).await });
     }
     let mut resident = 0;
@@ -199,21 +207,21 @@
         match next {
             Err(_) => continue,
             Ok(None) => break,
-            Ok(Some(seen)) => {
-                let seen = seen.map_err(|err| err.to_string())??;
-                tokens += seen.tokens;
-                if !seen.completed || seen.tokens != options.tokens {
+            Ok(Some(result)) => {
+                let result = result.map_err(|err| err.to_string())??;
+                tokens += result.tokens;
+                if !result.completed || result.tokens != options.tokens {
                     report
                         .violations
-                        .push(format!("a stream was cut: {seen:?}"));
+                        .push(format!("a stream was cut: {result:?}"));
                 }
             }
         }
     }
     let wall = started.elapsed().as_secs_f64();
     let cpu = (setup.daemon.cpu() - cpu_before).as_secs_f64();
-    let steps = (counter(setup, "engine_steps").await? - steps_before) as f64;
-    let calls = (counter(setup, "engine_calls").await? - calls_before) as f64;
+    let steps = (read_counter(setup, "engine_steps").await? - steps_before) as f64;
+    let calls = (read_counter(setup, "engine_calls").await? - calls_before) as f64;
     report.add("streams", f64::from(options.streams), "", Goal::None);
     report.add(
         "tokens a second",
@@ -234,19 +242,19 @@
         "stage steps a core-second",
         per_core,
         "steps",
-        Goal::AtLeast(STEPS_PER_CORE_LEAST),
+        Goal::AtLeast(MIN_STEPS_PER_CORE),
     );
     let mib = resident as f64 / f64::from(1 << 20);
     report.add(
         "resident, all streams open",
         mib,
         "MiB",
-        Goal::AtMost(RESIDENT_MIB_MOST),
+        Goal::AtMost(MAX_RESIDENT_MIB),
     );
     Ok(())
 }
 
-async fn counter(setup: &Setup, name: &str) -> Result<u64, String> {
+async fn read_counter(setup: &Setup, name: &str) -> Result<u64, String> {
     let url = format!("{}/v1/counters", setup.operators);
     let req = Client::new().get(url).bearer_auth(OPERATOR_KEY);
     let response = req.send().await.map_err(|err| err.to_string())?;
--- a/reachtally-bench/src/path.rs
+++ b/reachtally-bench/src/path.rs
@@ -1,7 +1,7 @@
-//! What the decisions on the path of a request cost a box, against the number of engines: the choice of engines, the
-//! report of loads, the sums of a collector, and the plan of layers with its evaluation.
+//! Measures the processor time of a box's decisions by number of engines: path selection, load reports, collector totals, and the
+//! placement of layers with its evaluation.
 //!
-//! The shipped functions on one thread, in memory; a box of the users has an eighth to a half of such a core.
+//! Runs the production functions on one thread, in memory. A box of the users has an eighth to a half of such a core.
 
 use std::hint::black_box;
 use std::net::Ipv4Addr;
@@ -21,30 +21,30 @@
 use crate::choice::engines::{CARD, SERVICE, domain, model};
 use crate::report::{Goal, Report};
 
-/// Numbers of engines.
+/// Fleet sizes to measure, in engines.
 const ENGINES: [usize; 6] = [99, 190, 540, 1000, 3000, 7000];
-/// Engines of a failure domain, about as many as the users have.
+/// Engines per failure domain, about as many as the users have.
 const DOMAIN_ENGINES: usize = 540;
-/// Layers that each engine holds.
-const HELD: u32 = 10;
-/// Longest choice, in µs, at up to 3,000 engines and beyond.
-const CHOICE_MOST: [f64; 2] = [200.0, 1000.0];
-/// Engines from which the second bound holds.
-const MANY: usize = 7000;
-/// Longest plan of 540 engines, in ms.
-const PLAN_MOST: f64 = 1000.0;
-/// Engines up to which a plan is timed: the plan tries ranges against ranges.
-const PLANNED_MOST: usize = 540;
+/// Layers per engine.
+const LAYERS_PER_ENGINE: u32 = 10;
+/// Longest allowed path selection in µs, for up to 3,000 engines and for more.
+const MAX_CHOICE_US: [f64; 2] = [200.0, 1000.0];
+/// Number of engines from which the second bound applies.
+const MANY_ENGINES: usize = 7000;
+/// Longest allowed planning time for 540 engines, in ms.
+const MAX_PLAN_MS: f64 = 1000.0;
+/// Largest number of engines for which planning is measured, since its time grows with pairs of layer ranges.
+const MAX_PLANNED_ENGINES: usize = 540;
 
-/// How often each decision is taken.
+/// Command-line options of the experiment.
 #[derive(Debug, Clone, Bpaf)]
 pub struct Options {
-    /// Rounds of each figure
+    /// Iterations of each measurement
     #[bpaf(argument("N"), fallback(200))]
     rounds: u32,
 }
 
-/// Run the experiment.
+/// Runs the experiment.
 pub fn run(options: &Options) -> Result<Report, String> {
     let mut report = Report::default();
     for engines in ENGINES {
@@ -58,25 +58,30 @@
     let fleet = fleet(engines);
     let name = |what: &str| format!("{what}, {engines} engines");
     let choice = mean_us(rounds, |draw| {
-        black_box(choose(&fleet, &model, u64::from(draw)));
+        black_box(select_path(&fleet, &model, u64::from(draw)));
     });
-    choose(&fleet, &model, 0).ok_or("no path is found")?;
-    let most = CHOICE_MOST[usize::from(engines >= MANY)];
-    report.add(&name("choice"), choice, "µs", Goal::AtMost(most));
-    let told = mean_us(rounds, |number| {
+    select_path(&fleet, &model, 0).ok_or("no path is found")?;
+    let max = MAX_CHOICE_US[usize::from(engines >= MANY_ENGINES)];
+    report.add(&name("choice"), choice, "µs", Goal::AtMost(max));
+    let load_report = mean_us(rounds, |number| {
         let number = u64::from(number);
         black_box(own_report(Incarnation(1), number, &fleet, Instant::ZERO));
     });
-    report.add(&name("report"), told, "µs", Goal::None);
+    report.add(&name("report"), load_report, "µs", Goal::None);
     let mut collector = collector(&fleet);
     let sums = mean_us(rounds, |_| collector.update_totals(Instant::ZERO));
     report.add(&name("sums of 64 boxes"), sums, "µs", Goal::None);
-    if engines <= PLANNED_MOST {
+    if engines <= MAX_PLANNED_ENGINES {
         let hosts = hosts(&fleet, &model);
         let plan = mean_us(1, |_| {
             black_box(moves(&model, &hosts));
         });
-        report.add(&name("plan"), plan / 1000.0, "ms", Goal::AtMost(PLAN_MOST));
+        report.add(
+            &name("plan"),
+            plan / 1000.0,
+            "ms",
+            Goal::AtMost(MAX_PLAN_MS),
+        );
         let placed = placed(&fleet, &hosts);
         let repair = mean_us(3, |_| {
             black_box(moves(&model, &placed));
@@ -90,16 +95,16 @@
     Ok(())
 }
 
-/// Mean time of a round, in µs.
+/// Returns the mean time of an iteration, in µs.
 fn mean_us(rounds: u32, mut round: impl FnMut(u32)) -> f64 {
-    let began = Clock::now();
+    let started = Clock::now();
     for number in 0..rounds {
         round(number);
     }
-    began.elapsed().as_secs_f64() * 1e6 / f64::from(rounds)
+    started.elapsed().as_secs_f64() * 1e6 / f64::from(rounds)
 }
 
-fn choose(fleet: &Fleet, model: &LayerModel, draw: u64) -> Option<select::Choice> {
+fn select_path(fleet: &Fleet, model: &LayerModel, draw: u64) -> Option<select::Choice> {
     let need = Requirements {
         prompt: 774.0,
         answer: 138.0,
@@ -121,12 +126,12 @@
     select::path(fleet, SERVICE, model, need, &cx)
 }
 
-/// Engines of equal cards in chains, with some requests on each.
+/// Creates a table of engines with identical cards and some requests on each.
 fn fleet(engines: usize) -> Fleet {
     let mut fleet = Fleet::default();
     let layers = model().layers;
     for number in 0..engines {
-        let from = (number as u32 * HELD) % layers;
+        let from = (number as u32 * LAYERS_PER_ENGINE) % layers;
         let entry = Entry {
             id: format!("e-{number:08}").into(),
             born: None,
@@ -136,7 +141,7 @@
             draining: false,
             slots: 192,
             card: Some(CARD.into()),
-            layers: from..from + HELD,
+            layers: from..from + LAYERS_PER_ENGINE,
         };
         let (key, _) = fleet.upsert(entry, EntrySource::Written, Instant::ZERO);
         fleet.begin(&[key], 900.0 * (number % 7) as f64);
@@ -144,18 +149,18 @@
     fleet
 }
 
-/// A collector that 64 boxes report to, which have something on every engine.
+/// Creates a collector with reports of 64 boxes, each with load on every engine.
 fn collector(fleet: &Fleet) -> Collector {
     let mut collector = Collector::new(&domain(0));
     for run in 0..64 {
-        let told = own_report(Incarnation(run + 1), 1, fleet, Instant::ZERO);
+        let load_report = own_report(Incarnation(run + 1), 1, fleet, Instant::ZERO);
         let ip = Ipv4Addr::from(0x0A01_0000 + run as u32);
-        collector.receive(told, ip.into(), Instant::ZERO);
+        collector.receive(load_report, ip.into(), Instant::ZERO);
     }
     collector
 }
 
-/// The engines with the layers that they hold.
+/// Returns the engines with the layers that they hold.
 fn placed(fleet: &Fleet, hosts: &[Host]) -> Vec<Host> {
     let held = |host: &Host| Host {
         layers: fleet
@@ -166,7 +171,7 @@
     hosts.iter().map(held).collect()
 }
 
-/// Empty engines, for a plan.
+/// Returns the engines without layers.
 fn hosts(fleet: &Fleet, model: &LayerModel) -> Vec<Host> {
     let host = |(engine, row): (_, &reachtally_core::forward::fleet::Engine)| Host {
         engine,
--- a/reachtally-bench/src/placement.rs
+++ b/reachtally-bench/src/placement.rs
@@ -1,6 +1,7 @@
-//! What plans of layers serve, whole and after losses, against simple plans and a bound.
+//! Measures the capacity of layer placements, whole and after losses, against simple placements and an upper bound.
 //!
-//! The shipped plan with its repairs, from empty engines; judged by the shipped evaluator, in memory.
+//! Runs the production placement with its repairs from empty engines, in memory, and evaluates the result with the production
+//! evaluator.
 
 mod cuts;
 mod fleets;
@@ -12,23 +13,23 @@
 use reachtally_core::forward::placement::evaluate::{Flows, capacity, chains, flows, served};
 
 use crate::report::{Goal, Report};
-use fleets::{AIM, Case};
+use fleets::{FleetCase, OBJECTIVES};
 
-/// Least part of the better simple plan that every fleet serves.
-const SIMPLE_LEAST: f64 = 0.95;
-/// Least part of the bound at the median.
-const BOUND_LEAST: f64 = 0.95;
-/// Least gain over the better simple plan at the median, with more than one kind of card.
-const MIXED_LEAST: f64 = 1.2;
-/// Longest plan of the largest fleet, in ms.
-const PLAN_MS_MOST: f64 = 1000.0;
-/// Most losses that are tried for a fleet: the engines with most of a path's work, and others at equal distances.
-const LOSSES: usize = 24;
+/// Smallest allowed capacity of any fleet, relative to the better simple placement.
+const MIN_OF_SIMPLE: f64 = 0.95;
+/// Smallest allowed median capacity, relative to the upper bound.
+const MIN_OF_BOUND: f64 = 0.95;
+/// Smallest allowed median capacity of fleets with several card types, relative to the better simple placement.
+const MIN_OF_SIMPLE_MIXED: f64 = 1.2;
+/// Longest allowed planning time of any fleet, in ms.
+const MAX_PLAN_MS: f64 = 1000.0;
+/// Maximum number of losses that are evaluated for a fleet: the busiest engines, and an even sample of the others.
+const MAX_LOSSES: usize = 24;
 
-/// What is judged.
+/// Command-line options of the experiment.
 #[derive(Debug, Clone, Bpaf)]
 pub struct Options {
-    /// Random fleets
+    /// Number of random fleets
     #[bpaf(argument("N"), fallback(200))]
     fleets: u64,
     /// Seed of the first fleet
@@ -38,16 +39,16 @@
     lines: bool,
 }
 
-/// What a plan serves, in requests a second.
-struct Judged {
+/// Capacity of a placement, in requests per second.
+struct Capacities {
     whole: f64,
-    /// After the loss of one engine: at worst and at the mean.
+    /// Worst and mean capacity after the loss of one engine.
     engine: (f64, f64),
-    /// After the loss of all engines of a chain.
+    /// Worst and mean capacity after the loss of all engines of a chain.
     chain: (f64, f64),
 }
 
-/// Run the experiment.
+/// Runs the experiment.
 pub fn run(options: &Options) -> Result<Report, String> {
     let mut report = Report::default();
     for case in fleets::examples() {
@@ -55,28 +56,28 @@
     }
     let mut figures = Figures::default();
     for seed in options.seed..options.seed + options.fleets {
-        figures.add(&fleets::drawn(seed), options.lines);
+        figures.add(&fleets::random(seed), options.lines);
     }
     figures.report(&mut report);
     Ok(report)
 }
 
-fn example(case: &Case, report: &mut Report) {
+fn example(case: &FleetCase, report: &mut Report) {
     let mut add = |what: &str, value: f64, unit| {
         report.add(&format!("{}: {what}", case.name), value, unit, Goal::None);
     };
     let (hosts, plan_ms) = timed(|| cuts::shipped(case));
-    let (judged, judge_ms) = timed(|| judge(case, &hosts));
-    let asked = served(&case.model, &hosts, &case.demand, AIM);
+    let (capacities, evaluation_ms) = timed(|| measure(case, &hosts));
+    let asked = served(&case.model, &hosts, &case.demand, OBJECTIVES);
     add("bound", cuts::bound(case), "1/s");
-    add("whole", judged.whole, "1/s");
-    add("one engine lost, at worst", judged.engine.0, "1/s");
-    add("one engine lost, mean", judged.engine.1, "1/s");
-    add("a chain lost, at worst", judged.chain.0, "1/s");
-    add("a chain lost, mean", judged.chain.1, "1/s");
+    add("whole", capacities.whole, "1/s");
+    add("one engine lost, at worst", capacities.engine.0, "1/s");
+    add("one engine lost, mean", capacities.engine.1, "1/s");
+    add("a chain lost, at worst", capacities.chain.0, "1/s");
+    add("a chain lost, mean", capacities.chain.1, "1/s");
     add("asked and served", asked.combined, "1/s");
     add("asked and served, domains cut off", asked.isolated, "1/s");
-    let simple = judge(case, &cuts::simple(case));
+    let simple = measure(case, &cuts::simple(case));
     add("better simple plan, whole", simple.whole, "1/s");
     add(
         "better simple plan, one engine lost, at worst",
@@ -93,17 +94,17 @@
         "",
     );
     add("plan", plan_ms, "ms");
-    add("evaluations", judge_ms, "ms");
+    add("evaluations", evaluation_ms, "ms");
 }
 
 fn timed<T>(work: impl FnOnce() -> T) -> (T, f64) {
-    let began = Instant::now();
+    let started = Instant::now();
     let done = work();
-    (done, began.elapsed().as_secs_f64() * 1000.0)
+    (done, started.elapsed().as_secs_f64() * 1000.0)
 }
 
-fn judge(case: &Case, hosts: &[Host]) -> Judged {
-    let flows = flows(&case.model, hosts, AIM);
+fn measure(case: &FleetCase, hosts: &[Host]) -> Capacities {
+    let flows = flows(&case.model, hosts, OBJECTIVES);
     let whole = flows.per_s;
     let without = |lost: &[usize]| {
         let left = hosts.iter().enumerate();
@@ -111,31 +112,32 @@
             .filter(|(number, _)| !lost.contains(number))
             .map(|(_, host)| host.clone())
             .collect();
-        capacity(&case.model, &left, AIM)
+        capacity(&case.model, &left, OBJECTIVES)
     };
     let engines: Vec<f64> = losses(&flows, hosts)
         .iter()
         .map(|one| without(&[*one]))
         .collect();
-    let chains = chains(&case.model, hosts, AIM);
-    let step = chains.len().div_ceil(LOSSES).max(1);
+    let chains = chains(&case.model, hosts, OBJECTIVES);
+    let step = chains.len().div_ceil(MAX_LOSSES).max(1);
     let chains: Vec<f64> = chains
         .iter()
         .step_by(step)
         .map(|chain| without(chain))
         .collect();
-    Judged {
+    Capacities {
         whole,
         engine: worst_and_mean(&engines, whole),
         chain: worst_and_mean(&chains, whole),
     }
 }
 
-/// The engines whose loss is tried, one of those that are alike: those that most requests pass, and others.
+/// Selects the engines whose loss is evaluated: those that serve most requests, and a sample of the others. Of identical engines
+/// one is selected.
 fn losses(flows: &Flows, hosts: &[Host]) -> Vec<usize> {
     let all = flows.busiest(hosts, hosts.len());
-    let (first, rest) = all.split_at(all.len().min(LOSSES / 2));
-    let step = rest.len().div_ceil(LOSSES / 2).max(1);
+    let (first, rest) = all.split_at(all.len().min(MAX_LOSSES / 2));
+    let step = rest.len().div_ceil(MAX_LOSSES / 2).max(1);
     first
         .iter()
         .chain(rest.iter().step_by(step))
@@ -151,7 +153,7 @@
     (worst, values.iter().sum::<f64>() / values.len() as f64)
 }
 
-/// Figures of all random fleets, relative to others' of the same fleet.
+/// Capacities of all random fleets, relative to other placements of the same fleet.
 #[derive(Default)]
 struct Figures {
     of_simple: Vec<f64>,
@@ -164,24 +166,24 @@
 }
 
 impl Figures {
-    fn add(&mut self, case: &Case, prints: bool) {
+    fn add(&mut self, case: &FleetCase, is_verbose: bool) {
         let (hosts, plan_ms) = timed(|| cuts::shipped(case));
-        let shipped = judge(case, &hosts);
-        let simple = judge(case, &cuts::simple(case));
+        let shipped = measure(case, &hosts);
+        let simple = measure(case, &cuts::simple(case));
         let bound = cuts::bound(case);
-        let of = |value: f64, other: f64| if other > 0.0 { value / other } else { 1.0 };
-        let of_simple = of(shipped.whole, simple.whole);
+        let ratio = |value: f64, other: f64| if other > 0.0 { value / other } else { 1.0 };
+        let of_simple = ratio(shipped.whole, simple.whole);
         self.of_simple.push(of_simple);
         if case.model.cards.len() > 1 {
             self.of_simple_mixed.push(of_simple);
         }
         self.of_simple_lost
-            .push(of(shipped.engine.0, simple.engine.0));
-        self.of_bound.push(of(shipped.whole, bound));
+            .push(ratio(shipped.engine.0, simple.engine.0));
+        self.of_bound.push(ratio(shipped.whole, bound));
         self.plan_ms = self.plan_ms.max(plan_ms);
         self.whole += shipped.whole;
         self.worst += shipped.engine.0;
-        if prints {
+        if is_verbose {
             println!(
                 "{}, {} engines: whole {:.2}, one engine lost {:.2} at worst {:.2} mean, chain lost {:.2}; simple {:.2}, {:.2}; bound {bound:.2}; plan {plan_ms:.1} ms",
                 case.name,
@@ -205,7 +207,7 @@
             "1/s",
             Goal::None,
         );
-        let goal = Goal::AtLeast(SIMPLE_LEAST);
+        let goal = Goal::AtLeast(MIN_OF_SIMPLE);
         report.add(
             "of the better simple plan, least",
             least(&self.of_simple),
@@ -215,13 +217,13 @@
         let below = self
             .of_simple
             .iter()
-            .filter(|part| **part < SIMPLE_LEAST)
+            .filter(|part| **part < MIN_OF_SIMPLE)
             .count();
         report.add("fleets below it", below as f64, "", Goal::AtMost(0.0));
         let part = median(&mut self.of_simple);
         report.add("of the better simple plan, median", part, "", Goal::None);
         let part = median(&mut self.of_simple_mixed);
-        let goal = Goal::AtLeast(MIXED_LEAST);
+        let goal = Goal::AtLeast(MIN_OF_SIMPLE_MIXED);
         report.add(
             "of the better simple plan, mixed cards, median",
             part,
@@ -236,12 +238,17 @@
             Goal::None,
         );
         let part = median(&mut self.of_bound);
-        report.add("of the bound, median", part, "", Goal::AtLeast(BOUND_LEAST));
+        report.add(
+            "of the bound, median",
+            part,
+            "",
+            Goal::AtLeast(MIN_OF_BOUND),
+        );
         report.add(
             "longest plan",
             self.plan_ms,
             "ms",
-            Goal::AtMost(PLAN_MS_MOST),
+            Goal::AtMost(MAX_PLAN_MS),
         );
     }
 }
--- a/reachtally-bench/src/placement/cuts.rs
+++ b/reachtally-bench/src/placement/cuts.rs
@@ -1,4 +1,4 @@
-//! Simple plans to compare with: equal cuts, and cuts in proportion to memory.
+//! Placements to compare: the shipped one, equal cuts, and cuts in proportion to memory.
 
 use std::collections::BTreeMap;
 
@@ -7,15 +7,15 @@
 use reachtally_core::forward::placement::evaluate::capacity;
 use reachtally_core::forward::placement::{Host, moves};
 
-use super::fleets::{AIM, Case};
+use super::fleets::{FleetCase, OBJECTIVES};
 
-/// Rounds of repair after which a plan is taken as it is.
-const REPAIRS: usize = 20;
+/// Maximum number of repairs of a placement.
+const MAX_REPAIRS: usize = 20;
 
-/// What the shipped placement makes of empty engines, repairs included.
-pub fn shipped(case: &Case) -> Vec<Host> {
+/// Computes the shipped placement of empty engines, with its repairs.
+pub fn shipped(case: &FleetCase) -> Vec<Host> {
     let mut hosts = case.hosts.clone();
-    for _ in 0..REPAIRS {
+    for _ in 0..MAX_REPAIRS {
         let next = moves(&case.model, &hosts);
         if next.is_empty() {
             break;
@@ -33,24 +33,24 @@
     hosts
 }
 
-/// The better of equal cuts and cuts in proportion to memory, each with the number of parts or chains that serves
-/// most, by failure domain.
-pub fn simple(case: &Case) -> Vec<Host> {
+/// Computes the better of equal cuts and cuts in proportion to memory for each failure domain, each with the number of parts or
+/// chains that has the largest capacity.
+pub fn simple(case: &FleetCase) -> Vec<Host> {
     let mut hosts = Vec::new();
     for group in groups(case) {
         let parts = (1..=MAX_PATH_PARTS).map(|parts| equal(&case.model, &group, parts));
         let most = (group.len() / 2).clamp(1, 40);
         let chains = (1..=most).map(|chains| proportional(&case.model, &group, chains));
         let options = parts.chain(chains);
-        let valued = options.map(|option| (capacity(&case.model, &option, AIM), option));
+        let valued = options.map(|option| (capacity(&case.model, &option, OBJECTIVES), option));
         let best = valued.max_by(|a, b| a.0.total_cmp(&b.0));
         hosts.extend(best.map_or(group, |(_, best)| best));
     }
     hosts
 }
 
-/// Engines by failure domain; those of domains that cannot hold the model alone are one group.
-fn groups(case: &Case) -> Vec<Vec<Host>> {
+/// Groups engines by failure domain; all domains that cannot hold the model alone form one group.
+fn groups(case: &FleetCase) -> Vec<Vec<Host>> {
     let mut by_domain: BTreeMap<&str, Vec<Host>> = BTreeMap::new();
     for host in &case.hosts {
         by_domain
@@ -71,7 +71,7 @@
     groups
 }
 
-/// Layers cut into `parts` equal parts, each engine at the one that has least room so far.
+/// Cuts the layers into `parts` equal parts and assigns each engine to the part with the least KV capacity so far.
 fn equal(model: &LayerModel, group: &[Host], parts: usize) -> Vec<Host> {
     let cut = |part: usize| (part * model.layers as usize / parts) as u32;
     let mut rooms = vec![0.0; parts];
@@ -90,7 +90,7 @@
     hosts
 }
 
-/// Engines dealt to `chains` chains by size, each with layers in proportion to its part of the chain's memory.
+/// Distributes engines by memory over `chains` chains; each engine gets layers in proportion to its share of the chain's memory.
 fn proportional(model: &LayerModel, group: &[Host], chains: usize) -> Vec<Host> {
     let mut hosts = group.to_vec();
     hosts.sort_by(|a, b| b.card.memory_mb.total_cmp(&a.card.memory_mb));
@@ -110,10 +110,10 @@
     hosts
 }
 
-/// A bound on what any plan serves. An engine with `x` of `N` layers and room for `n` requests contributes at most `n x / N`
-/// of a request for as long as a path of engines like it takes, since 1 over the time of a path is at most the mean of that
-/// over its engines by their layers. Objectives, places and reading by others are left out.
-pub fn bound(case: &Case) -> f64 {
+/// Upper bound on the capacity of any placement. An engine with `x` of `N` layers and KV for `n` requests contributes at most
+/// `n x / N` requests per duration of a path of engines like it, since the reciprocal of a path's duration is at most the mean of
+/// that of its engines, weighted by their layers. Objectives, failure domains and the prefill of other requests are ignored.
+pub fn bound(case: &FleetCase) -> f64 {
     let model = &case.model;
     let engine = |host: &Host| {
         let each = (1..=model.layers).map(|layers| {
--- a/reachtally-bench/src/placement/fleets.rs
+++ b/reachtally-bench/src/placement/fleets.rs
@@ -1,4 +1,4 @@
-//! Fleets of empty engines: drawn ones and examples.
+//! Random and example fleets of empty engines.
 
 use std::sync::Arc;
 
@@ -11,25 +11,25 @@
 use reachtally_core::forward::placement::evaluate::Demand;
 use reachtally_core::forward::select::LatencyObjectives;
 
-/// The objectives of all fleets.
-pub const AIM: LatencyObjectives = LatencyObjectives {
+/// Latency objectives of all fleets.
+pub const OBJECTIVES: LatencyObjectives = LatencyObjectives {
     first_ms: Some(500.0),
     gap_ms: Some(250.0),
 };
 
-/// Empty engines with the model that they serve and what is asked of them.
-pub struct Case {
-    /// What it is called.
+/// Empty engines, the model that they serve, and the demand.
+pub struct FleetCase {
+    /// Name of the fleet.
     pub name: String,
-    /// The model.
+    /// The served model.
     pub model: LayerModel,
     /// The engines, without layers.
     pub hosts: Vec<Host>,
-    /// What callers ask for.
+    /// Demand of each failure domain.
     pub demand: Vec<Demand>,
 }
 
-/// A kind of card with how many of it each failure domain has.
+/// A card type and its number of engines in each failure domain.
 type Kind<'a> = (&'a str, Card, &'a [usize]);
 
 fn card(memory_mb: f64, step_factor: f64, read_factor: f64) -> Card {
@@ -40,7 +40,7 @@
     }
 }
 
-/// A model of 80 layers of 1,750 MB.
+/// Returns a model of 80 layers of 1,750 MB.
 fn model(step_ms: f64, read_per_s: f64, mean_answer_tokens: f64) -> LayerModel {
     LayerModel {
         layers: 80,
@@ -59,8 +59,8 @@
     }
 }
 
-/// The example fleets: one fast card among slow ones, and three kinds of very uneven speed.
-pub fn examples() -> [Case; 2] {
+/// Returns the example fleets: a few fast cards among slow ones, and three card types of very different speed.
+pub fn examples() -> [FleetCase; 2] {
     let uneven = [
         ("h100", card(72_000.0, 1.4, 1.0), [0, 1, 1]),
         ("a100s", card(36_000.0, 3.1, 3.2), [4, 2, 2]),
@@ -93,13 +93,13 @@
     ]
 }
 
-/// A random fleet that can hold its model: 2 to 5 failure domains, 1 to 5 kinds of card, 12 to 540 engines.
-pub fn drawn(seed: u64) -> Case {
+/// Generates a random fleet that can hold its model: 2 to 5 failure domains, 1 to 5 card types, 12 to 540 engines.
+pub fn random(seed: u64) -> FleetCase {
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
     loop {
         let domains = rng.random_range(2..=5);
         let kinds = rng.random_range(1..=5);
-        // As many small fleets as large ones.
+        // Logarithmic, so that small fleets are as frequent as large ones.
         let total = (12.0 * 45_f64.powf(rng.random::<f64>())).round() as usize;
         let mut counts = vec![vec![0; domains]; kinds];
         for _ in 0..total {
@@ -110,7 +110,7 @@
         let kinds: Vec<Kind<'_>> = counts
             .iter()
             .zip(names)
-            .map(|(counts, name)| (name, drawn_card(&mut rng), &counts[..]))
+            .map(|(counts, name)| (name, random_card(&mut rng), &counts[..]))
             .collect();
         let step_ms = rng.random_range(0.6..1.3);
         let read_per_s = rng.random_range(100_000.0..350_000.0);
@@ -118,14 +118,14 @@
         let mut model = model(step_ms, read_per_s, answer);
         model.kv_token_mb = rng.random_range(0.3..0.95);
         let case = build(format!("seed {seed}"), model, &kinds, 400.0);
-        if fits(&case) {
+        if can_hold_model(&case) {
             return case;
         }
     }
 }
 
-/// A card of 14 to 80 GB; the faster ones are the larger, by and large.
-fn drawn_card(rng: &mut ChaCha8Rng) -> Card {
+/// Generates a card of 14 to 80 GB; larger cards tend to be faster.
+fn random_card(rng: &mut ChaCha8Rng) -> Card {
     let memory_mb = 14_000.0 * (80.0_f64 / 14.0).powf(rng.random::<f64>());
     let usual = 16.0 * (14_000.0 / memory_mb);
     let step = usual * rng.random_range(0.5..1.5);
@@ -136,14 +136,14 @@
     )
 }
 
-/// Whether all engines together hold the model with KV for a dozen requests.
-fn fits(case: &Case) -> bool {
+/// Whether all engines together can hold the model and the KV of a dozen requests.
+fn can_hold_model(case: &FleetCase) -> bool {
     let kv = 12.0 * case.model.mean_context_tokens();
     let most = |host: &Host| case.model.max_layers(&host.card, kv);
     case.hosts.iter().map(most).sum::<u32>() >= case.model.layers
 }
 
-fn build(name: String, mut model: LayerModel, kinds: &[Kind<'_>], per_s: f64) -> Case {
+fn build(name: String, mut model: LayerModel, kinds: &[Kind<'_>], per_s: f64) -> FleetCase {
     let mut fleet = Fleet::default();
     let mut hosts = Vec::new();
     let domains = kinds.iter().map(|kind| kind.2.len()).max().unwrap_or(0);
@@ -161,7 +161,7 @@
         prompt: model.mean_prompt_tokens,
         answer: model.mean_answer_tokens,
     };
-    Case {
+    FleetCase {
         demand: (0..domains).map(of_domain).collect(),
         name,
         model,
--- a/reachtally-bench/src/process.rs
+++ b/reachtally-bench/src/process.rs
@@ -1,4 +1,4 @@
-//! Child processes of an experiment: the daemon and the stand-ins, as they run in production.
+//! Child processes of an experiment: the daemon, the relay and the stand-ins, as in production.
 //!
 //! Only this tool starts processes; the daemon and the stand-ins start none.
 
@@ -8,44 +8,44 @@
 use std::process::{Child, ChildStdout, Command, Stdio};
 use std::time::Duration;
 
-/// Clock ticks a second in `/proc/<pid>/stat`, fixed by the kernel's user interface.
+/// Clock ticks per second in `/proc/<pid>/stat`, fixed by the kernel ABI.
 const TICKS_PER_S: f64 = 100.0;
 
-/// A child that is killed when dropped.
+/// A child process that is killed on drop.
 pub struct Process {
     child: Child,
-    /// Held open, since a child that prints to a closed pipe fails.
+    /// Kept open, since a child that writes to a closed pipe fails.
     _stdout: Option<BufReader<ChildStdout>>,
 }
 
 impl Drop for Process {
     fn drop(&mut self) {
-        // It may have ended by itself.
+        // The process may have exited already.
         self.child.kill().ok();
         self.child.wait().ok();
     }
 }
 
 impl Process {
-    /// The process id.
+    /// Returns the process id.
     pub fn id(&self) -> u32 {
         self.child.id()
     }
 
-    /// Whether it still runs; one that ended and was not waited for does not.
+    /// Whether the process is running. A zombie is not.
     pub fn is_running(&self) -> bool {
         let stat = std::fs::read_to_string(format!("/proc/{}/stat", self.id()));
         stat.is_ok_and(|stat| !stat.contains(") Z "))
     }
 
-    /// Processor time used so far.
+    /// Returns the processor time used so far.
     pub fn cpu(&self) -> Duration {
         let stat = std::fs::read_to_string(format!("/proc/{}/stat", self.id()));
         let ticks = stat.ok().and_then(|stat| cpu_ticks(&stat)).unwrap_or(0);
         Duration::from_secs_f64(ticks as f64 / TICKS_PER_S)
     }
 
-    /// Resident memory in bytes.
+    /// Returns the resident memory in bytes.
     pub fn resident(&self) -> u64 {
         let status = std::fs::read_to_string(format!("/proc/{}/status", self.id()));
         status
@@ -55,7 +55,7 @@
     }
 }
 
-/// Resident memory in bytes, from a process's status file.
+/// Parses the resident memory in bytes from `/proc/<pid>/status`.
 pub fn resident_of(status: &str) -> Option<u64> {
     let line = status
         .lines()
@@ -64,7 +64,7 @@
     Some(kib * 1024)
 }
 
-/// User and system time, fields 14 and 15; the name before them may hold spaces.
+/// Parses user plus system time, fields 14 and 15 of `/proc/<pid>/stat`. The process name before them may contain spaces.
 fn cpu_ticks(stat: &str) -> Option<u64> {
     let after_name = stat.rsplit_once(") ")?.1;
     let fields: Vec<&str> = after_name.split_whitespace().collect();
@@ -73,7 +73,7 @@
     Some(user + system)
 }
 
-/// A program built beside this one.
+/// Finds a program in the directory of this executable.
 fn program(name: &str) -> Result<PathBuf, String> {
     let own = std::env::current_exe().map_err(|err| err.to_string())?;
     let path = own.with_file_name(name);
@@ -83,7 +83,7 @@
     Err(format!("{name} is not built; run: cargo build --release"))
 }
 
-/// Start a program that prints a line first; yields that line.
+/// Starts a program and returns the first line that it prints.
 fn start(command: &mut Command) -> Result<(Process, String), String> {
     let mut child = command
         .stdout(Stdio::piped())
@@ -101,12 +101,12 @@
     Ok((process, line.trim().to_owned()))
 }
 
-/// Start a stand-in; yields its base address, which it prints first.
+/// Starts a stand-in and returns its base address, which it prints first.
 pub fn standin(arguments: &[String]) -> Result<(Process, String), String> {
     start(Command::new(program("reachtally-standin")?).args(arguments))
 }
 
-/// Start the relay of whole requests before an engine; yields its address.
+/// Starts the relay of whole requests in front of an engine and returns its address.
 pub fn relay_box(engine: SocketAddr, logs: bool) -> Result<(Process, SocketAddr), String> {
     let own = std::env::current_exe().map_err(|err| err.to_string())?;
     let mut command = Command::new(own);
@@ -119,7 +119,7 @@
     Ok((process, address))
 }
 
-/// Start a daemon with these settings.
+/// Starts a daemon with a settings file.
 pub fn daemon(settings: &std::path::Path) -> Result<Process, String> {
     let child = Command::new(program("reachtallyd")?)
         .arg("run")
--- a/reachtally-bench/src/recovery.rs
+++ b/reachtally-bench/src/recovery.rs
@@ -1,7 +1,7 @@
-//! Time from a stage's death to the next token, against restarting the whole chain.
+//! Measures the time from the failure of a stage to the next token, compared with restarting the whole chain.
 //!
-//! The shipped core on a virtual clock. The baseline is the same core with nothing kept, which runs
-//! the prompt and every token so far through all stages again, as a caller's retry would.
+//! Runs the production core on a virtual clock. The baseline is the same core without kept inputs and standbys: it runs the prompt
+//! and all tokens so far through every stage again, as a caller's retry would.
 
 use std::time::Duration;
 
@@ -12,14 +12,14 @@
 use reachtally_standin::fabric::Fabric;
 
 use crate::report::{Goal, Report};
-use crate::scene::{self, Fleet};
+use crate::sim::{self, Fleet};
 
-/// Most of the baseline's time that recovery may take.
-const SHARE_MOST: f64 = 0.2;
+/// Longest allowed recovery, relative to the baseline.
+const MAX_RECOVERY_SHARE: f64 = 0.2;
 const STAGE_COUNTS: [u32; 3] = [3, 6, 8];
-/// Requests each engine holds.
+/// Slots per engine.
 const SLOTS: u32 = 32;
-/// Stages and requests for the cost of standbys to throughput.
+/// Stages and requests in the measurement of the throughput cost of standbys.
 const COST_STAGES: u32 = 3;
 const COST_REQUESTS: [(&str, u32); 3] = [
     ("an eighth of the slots in use", SLOTS / 4),
@@ -28,29 +28,29 @@
 ];
 const LAYERS_EACH: u32 = 8;
 const PROMPT_WORDS: u32 = 64;
-const MARGIN: u32 = 100;
+const EXTRA_TOKENS: u32 = 100;
 
-/// What to measure.
+/// Command-line options of the experiment.
 #[derive(Debug, Clone, Bpaf)]
 pub struct Options {
-    /// Tokens generated before the stage dies
+    /// Tokens generated before the stage fails
     #[bpaf(argument("N"), fallback(500))]
     tokens: u32,
-    /// Microseconds of an engine's iteration however small
+    /// Base time of an engine iteration in microseconds
     #[bpaf(argument("US"), fallback(8000))]
     base_us: u64,
-    /// Microseconds for each layer and position
+    /// Microseconds per layer and position
     #[bpaf(argument("US"), fallback(60))]
     per_layer_us: u64,
 }
 
-/// Run the experiment.
+/// Runs the experiment.
 pub fn run(options: &Options) -> Result<Report, String> {
     let mut report = Report::default();
     for stages in STAGE_COUNTS {
-        let restart = mean_recovery(options, stages, &nothing_kept())?;
-        let replay = mean_recovery(options, stages, &inputs_kept())?;
-        let standby = mean_recovery(options, stages, &with_standbys())?;
+        let restart = mean_recovery(options, stages, &restart_limits())?;
+        let replay = mean_recovery(options, stages, &replay_limits())?;
+        let standby = mean_recovery(options, stages, &standby_limits())?;
         let mut add = |what: &str, value: f64, unit: &'static str, goal: Goal| {
             report.add(&format!("{stages} stages: {what}"), value, unit, goal);
         };
@@ -79,12 +79,12 @@
             "standby, share of the restart",
             share(standby),
             "",
-            Goal::AtMost(SHARE_MOST),
+            Goal::AtMost(MAX_RECOVERY_SHARE),
         );
     }
     for (load, requests) in COST_REQUESTS {
-        let without = finish_time(options, requests, &inputs_kept())?;
-        let with = finish_time(options, requests, &with_standbys())?;
+        let without = finish_time(options, requests, &replay_limits())?;
+        let with = finish_time(options, requests, &standby_limits())?;
         let share = without.as_secs_f64() / with.as_secs_f64();
         let name = format!("tokens a second with standbys, share of that without, {load}");
         report.add(&name, share, "", Goal::None);
@@ -99,7 +99,7 @@
     Ok(report)
 }
 
-fn nothing_kept() -> Limits {
+fn restart_limits() -> Limits {
     Limits {
         replay_bytes: 0,
         standby_positions: 0,
@@ -107,7 +107,7 @@
     }
 }
 
-fn inputs_kept() -> Limits {
+fn replay_limits() -> Limits {
     Limits {
         replay_bytes: 256 << 20,
         standby_positions: 0,
@@ -115,17 +115,17 @@
     }
 }
 
-fn with_standbys() -> Limits {
+fn standby_limits() -> Limits {
     Limits {
         replay_bytes: 256 << 20,
         ..Limits::default()
     }
 }
 
-/// Time in which many requests that run together end.
+/// Returns the time until all of several concurrent requests have ended.
 fn finish_time(options: &Options, requests: u32, limits: &Limits) -> Result<Duration, String> {
-    let mut fabric = scene::fabric(1, fleet(options, COST_STAGES), limits);
-    let ask = || scene::completion(PROMPT_WORDS, options.tokens);
+    let mut fabric = sim::fabric(1, fleet(options, COST_STAGES), limits);
+    let ask = || sim::completion(PROMPT_WORDS, options.tokens);
     let keys: Vec<_> = (0..requests).map(|_| fabric.ask(0, ask())).collect();
     fabric.run_for(Duration::from_secs(600));
     let ended = keys
@@ -150,24 +150,24 @@
     }
 }
 
-/// The mean over the stage that dies.
+/// Returns the recovery time, averaged over the stage that fails.
 fn mean_recovery(options: &Options, stages: u32, limits: &Limits) -> Result<Duration, String> {
     let mut sum = Duration::ZERO;
     for stage in 0..stages {
-        sum += recovery(options, stages, stage, limits)?;
+        sum += recovery_time(options, stages, stage, limits)?;
     }
     Ok(sum / stages)
 }
 
-fn recovery(
+fn recovery_time(
     options: &Options,
     stages: u32,
     stage: u32,
     limits: &Limits,
 ) -> Result<Duration, String> {
-    let mut fabric = scene::fabric(1, fleet(options, stages), limits);
-    let total = options.tokens + MARGIN;
-    let key = fabric.ask(0, scene::completion(PROMPT_WORDS, total));
+    let mut fabric = sim::fabric(1, fleet(options, stages), limits);
+    let total = options.tokens + EXTRA_TOKENS;
+    let key = fabric.ask(0, sim::completion(PROMPT_WORDS, total));
     let reached = |fabric: &Fabric| fabric.nodes[0].answered[&key].tokens.len() as u32;
     while reached(&fabric) < options.tokens {
         if fabric.nodes[0].answered[&key].end.is_some() {
@@ -175,7 +175,7 @@
         }
         fabric.run_for(Duration::from_millis(1));
     }
-    let died_at = fabric.now;
+    let failed_at = fabric.now;
     let serving = (0..2)
         .map(|replica| format!("http://e{stage}-{replica}"))
         .find(|url| fabric.engines[url].state.requests_held() > 0)
@@ -189,12 +189,12 @@
     if answered.tokens.len() != total as usize {
         return Err(format!("the request was cut: {:?}", answered.end));
     }
-    Ok(answered.times[before].since(died_at))
+    Ok(answered.times[before].since(failed_at))
 }
 
 fn shifts_when_slow(options: &Options) -> Result<usize, String> {
-    let mut fabric = scene::fabric(1, fleet(options, COST_STAGES), &Limits::default());
-    let key = fabric.ask(0, scene::completion(PROMPT_WORDS, options.tokens));
+    let mut fabric = sim::fabric(1, fleet(options, COST_STAGES), &Limits::default());
+    let key = fabric.ask(0, sim::completion(PROMPT_WORDS, options.tokens));
     fabric.run_for(Duration::from_secs(5));
     for engine in fabric.engines.values_mut() {
         engine.slow = 2.0;
--- a/reachtally-bench/src/relay.rs
+++ b/reachtally-bench/src/relay.rs
@@ -1,7 +1,7 @@
-//! What the relay of whole requests adds: time to the first event, processor time of an event, memory.
+//! Measures the overhead of the relay of whole requests: time to the first event, processor time per event, and memory.
 //!
-//! The relay runs as a process of its own, so that its processor time and memory are its alone. The
-//! engine here answers at once; the baseline calls it directly in the same run.
+//! The relay runs as a separate process, so that its processor time and memory can be measured. The engine in this process answers
+//! immediately; the baseline calls it directly in the same run.
 
 mod boxed;
 mod engine;
@@ -20,45 +20,45 @@
 
 pub use boxed::{BoxOptions, box_options, run_box};
 
-/// Most milliseconds that the relay may add to the first event at the median.
-const ADDED_MS_MOST: f64 = 0.5;
-/// Most microseconds of processor time for an event passed on.
-const EVENT_US_MOST: f64 = 15.0;
-/// Most megabytes resident with nothing open, and with the streams open.
-const IDLE_MB_MOST: f64 = 20.0;
-const OPEN_MB_MOST: f64 = 60.0;
-/// Requests before the clock runs.
-const WARM_UP: u32 = 50;
-/// Streams at once and events of each where processor time is measured.
+/// Largest allowed increase of the median time to the first event, in ms.
+const MAX_ADDED_MS: f64 = 0.5;
+/// Largest allowed processor time per relayed event, in µs.
+const MAX_EVENT_US: f64 = 15.0;
+/// Largest allowed resident memory, idle and with the streams open, in MB.
+const MAX_IDLE_MB: f64 = 20.0;
+const MAX_OPEN_MB: f64 = 60.0;
+/// Warm-up requests, which are not measured.
+const WARM_UP_REQUESTS: u32 = 50;
+/// Concurrent streams, and events per stream, in the measurement of processor time.
 const BUSY_STREAMS: u32 = 100;
 const BUSY_EVENTS: u32 = 400;
-/// Time between two events there.
+/// Time between two events of these streams.
 const BUSY_GAP: Duration = Duration::from_millis(5);
-/// Time between two events of streams that are only held open.
+/// Time between two events of streams that are only kept open.
 const OPEN_GAP: Duration = Duration::from_millis(500);
 
-/// What to measure.
+/// Command-line options of the experiment.
 #[derive(Debug, Clone, Bpaf)]
 pub struct Options {
-    /// Requests for the time to the first event
+    /// Requests in the measurement of the time to the first event
     #[bpaf(argument("N"), fallback(1000))]
     requests: u32,
-    /// Streams open at the same time
+    /// Concurrently open streams
     #[bpaf(argument("N"), fallback(1000))]
     streams: u32,
-    /// Let the relay write its log, to an output that nobody reads
+    /// Let the relay write its log to an output that nobody reads
     logs: bool,
 }
 
-/// Run the experiment.
+/// Runs the experiment.
 pub async fn run(options: Options) -> Result<Report, String> {
     let engine = engine::start().await.map_err(|err| err.to_string())?;
     let (relay, address) = process::relay_box(engine, options.logs)?;
     let mut report = Report::default();
     let idle = relay.resident() as f64 / 1e6;
-    report.add("resident, idle", idle, "MB", Goal::AtMost(IDLE_MB_MOST));
-    let direct = first_events(engine, options.requests).await?;
-    let relayed = first_events(address, options.requests).await?;
+    report.add("resident, idle", idle, "MB", Goal::AtMost(MAX_IDLE_MB));
+    let direct = measure_first_events(engine, options.requests).await?;
+    let relayed = measure_first_events(address, options.requests).await?;
     let ms = |times: &Histogram<u64>, q| times.value_at_quantile(q) as f64 / 1000.0;
     report.add(
         "first event, direct, p50",
@@ -77,7 +77,7 @@
         "first event, added, p50",
         added,
         "ms",
-        Goal::AtMost(ADDED_MS_MOST),
+        Goal::AtMost(MAX_ADDED_MS),
     );
     report.add(
         "first event, relayed, p99",
@@ -93,22 +93,22 @@
         "processor time, an event",
         used / events,
         "us",
-        Goal::AtMost(EVENT_US_MOST),
+        Goal::AtMost(MAX_EVENT_US),
     );
     if whole != BUSY_STREAMS {
         report
             .violations
             .push(format!("{whole} of {BUSY_STREAMS} streams were whole"));
     }
-    let held = hold_open(address, options.streams).await?;
+    let streams = hold_open(address, options.streams).await?;
     let open = relay.resident() as f64 / 1e6;
     report.add(
         "resident, streams open",
         open,
         "MB",
-        Goal::AtMost(OPEN_MB_MOST),
+        Goal::AtMost(MAX_OPEN_MB),
     );
-    report.add("streams open", held.len() as f64, "", Goal::None);
+    report.add("streams open", streams.len() as f64, "", Goal::None);
     Ok(report)
 }
 
@@ -133,7 +133,7 @@
     Ok(stream)
 }
 
-/// Read until `mark` has come, or to the end.
+/// Reads until `mark` arrives. Returns false if the stream ends before.
 async fn read_until(stream: &mut TcpStream, mark: &str) -> Result<bool, String> {
     let mut read = Vec::new();
     let mut buf = [0; 8192];
@@ -154,23 +154,26 @@
     }
 }
 
-/// Microseconds from the connection to the first event, one request after the other.
-async fn first_events(address: SocketAddr, requests: u32) -> Result<Histogram<u64>, String> {
+/// Measures the time from connecting to the first event, in µs, over sequential requests.
+async fn measure_first_events(
+    address: SocketAddr,
+    requests: u32,
+) -> Result<Histogram<u64>, String> {
     let mut times = Histogram::new(3).map_err(|err| err.to_string())?;
-    for number in 0..requests + WARM_UP {
-        let began = Instant::now();
+    for number in 0..requests + WARM_UP_REQUESTS {
+        let started = Instant::now();
         let mut stream = open(address, 1, Duration::ZERO).await?;
         if !read_until(&mut stream, "data: ").await? {
             return Err("a stream ended before its first event".to_owned());
         }
-        if number >= WARM_UP {
-            times.saturating_record(began.elapsed().as_micros() as u64);
+        if number >= WARM_UP_REQUESTS {
+            times.saturating_record(started.elapsed().as_micros() as u64);
         }
     }
     Ok(times)
 }
 
-/// Run streams at the same time; yields how many were whole.
+/// Runs concurrent streams and returns how many were received to their end.
 async fn streams(
     address: SocketAddr,
     count: u32,
@@ -192,15 +195,15 @@
     Ok(whole)
 }
 
-/// Open streams and wait for the first event of each.
+/// Opens streams and waits for the first event of each.
 async fn hold_open(address: SocketAddr, count: u32) -> Result<Vec<TcpStream>, String> {
-    let mut held = Vec::new();
+    let mut streams = Vec::new();
     for _ in 0..count {
         let mut stream = open(address, 1_000, OPEN_GAP).await?;
         if !read_until(&mut stream, "data: ").await? {
             return Err("a stream ended before its first event".to_owned());
         }
-        held.push(stream);
+        streams.push(stream);
     }
-    Ok(held)
+    Ok(streams)
 }
--- a/reachtally-bench/src/relay/boxed.rs
+++ b/reachtally-bench/src/relay/boxed.rs
@@ -1,4 +1,4 @@
-//! The relay as a process of its own.
+//! The relay as a separate process.
 
 use std::net::{Ipv4Addr, SocketAddr};
 use std::rc::Rc;
@@ -17,17 +17,17 @@
 
 use crate::report::Report;
 
-/// How the relay's process is started.
+/// Command-line options of the relay process.
 #[derive(Debug, Clone, Bpaf)]
 pub struct BoxOptions {
-    /// The engine
+    /// Address of the engine
     #[bpaf(argument("ADDRESS"))]
     engine: SocketAddr,
     /// Write the log
     logs: bool,
 }
 
-/// Headers of this bench: an id is all that there is.
+/// Wire format of this benchmark, whose only header is a request id.
 struct BenchWire;
 
 impl Wire for BenchWire {
@@ -67,7 +67,7 @@
     }
 }
 
-/// One route to one engine that holds all layers and has room for all.
+/// Returns a table with one route to one engine, which holds all layers and never runs out of KV.
 fn table() -> Table {
     let card = Card {
         memory_mb: 1e9,
@@ -111,7 +111,7 @@
     table
 }
 
-/// Run the relay until this process is ended, and print its address first.
+/// Prints the relay's address and runs the relay until this process is killed.
 pub fn run_box(options: &BoxOptions) -> Result<Report, String> {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
--- a/reachtally-bench/src/relay/engine.rs
+++ b/reachtally-bench/src/relay/engine.rs
@@ -1,4 +1,4 @@
-//! An engine that streams as many events as the path asks for.
+//! An engine that streams the number of events given in the request path.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -9,14 +9,14 @@
 const HEAD: &str = "HTTP/1.1 200 OK\r\nX-Bench-Id: r1\r\nContent-Type: text/event-stream\r\n\
                     Transfer-Encoding: chunked\r\n\r\n";
 
-/// Start it on a free port.
+/// Starts the engine on a free port and returns its address.
 pub async fn start() -> std::io::Result<SocketAddr> {
     let listener = TcpListener::bind("127.0.0.1:0").await?;
     let address = listener.local_addr()?;
     tokio::spawn(async move {
         while let Ok((stream, _)) = listener.accept().await {
             tokio::spawn(async move {
-                // A caller that leaves ends its stream; the relay's side tells what came.
+                // Errors are ignored, since a caller may disconnect; the client checks what it received.
                 let _ = serve(stream).await;
             });
         }
--- a/reachtally-bench/src/report.rs
+++ b/reachtally-bench/src/report.rs
@@ -1,23 +1,23 @@
-//! What an experiment yields: figures, goals, broken promises.
+//! Results of an experiment: figures, goals and violations.
 
 use std::process::ExitCode;
 
 use serde::Serialize;
 
-/// How a figure relates to its goal.
+/// The goal of a figure.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Goal {
-    /// The figure is for information.
+    /// No goal; the figure is informational.
     None,
-    /// At most this.
+    /// The figure must be at most this.
     AtMost(f64),
-    /// At least this.
+    /// The figure must be at least this.
     AtLeast(f64),
 }
 
 impl Goal {
-    fn met_by(self, value: f64) -> bool {
+    fn is_met_by(self, value: f64) -> bool {
         match self {
             Goal::None => true,
             Goal::AtMost(most) => value <= most,
@@ -36,30 +36,30 @@
     }
 }
 
-/// One figure.
+/// A named measurement.
 #[derive(Debug, Clone, Serialize)]
 pub struct Figure {
-    /// What was measured.
+    /// Name of the measurement.
     pub name: String,
-    /// The value.
+    /// Measured value.
     pub value: f64,
-    /// Its unit.
+    /// Unit of the value.
     pub unit: &'static str,
-    /// Its goal.
+    /// Goal of the value.
     pub goal: Goal,
 }
 
-/// All figures of an experiment.
+/// The results of an experiment.
 #[derive(Debug, Clone, Default, Serialize)]
 pub struct Report {
-    /// The figures.
+    /// Figures in the order in which they are printed.
     pub figures: Vec<Figure>,
-    /// Promises that broke.
+    /// Violated guarantees, one message each.
     pub violations: Vec<String>,
 }
 
 impl Report {
-    /// Add a figure.
+    /// Adds a figure.
     pub fn add(&mut self, name: &str, value: f64, unit: &'static str, goal: Goal) {
         self.figures.push(Figure {
             name: name.to_owned(),
@@ -69,21 +69,21 @@
         });
     }
 
-    /// Print it, and say whether all went well.
+    /// Prints the report. Fails if there are violations, or with `check` if a goal is missed.
     pub fn print(&self, json: bool, check: bool) -> ExitCode {
         if json {
-            // A report of plain numbers and texts always serializes.
+            // Serializing numbers and strings cannot fail.
             println!("{}", serde_json::to_string(self).unwrap_or_default());
         } else {
             self.print_table();
         }
         for violation in &self.violations {
-            eprintln!("broken promise: {violation}");
+            eprintln!("violation: {violation}");
         }
         let missed: Vec<&Figure> = self
             .figures
             .iter()
-            .filter(|figure| !figure.goal.met_by(figure.value))
+            .filter(|figure| !figure.goal.is_met_by(figure.value))
             .collect();
         if check {
             for figure in &missed {
@@ -107,7 +107,7 @@
             let (name, value, unit) = (&figure.name, figure.value, figure.unit);
             let verdict = match figure.goal {
                 Goal::None => String::new(),
-                goal if goal.met_by(value) => format!("goal {goal}: met"),
+                goal if goal.is_met_by(value) => format!("goal {goal}: met"),
                 goal => format!("goal {goal}: missed"),
             };
             println!("{name:width$}  {value:>12.3} {unit:<10} {verdict}");
--- a/reachtally-bench/src/setup.rs
+++ b/reachtally-bench/src/setup.rs
@@ -1,4 +1,4 @@
-//! One chain of engines, a log, a list and a daemon, each a process on loopback.
+//! Starts a chain of engines, a log, a list and a daemon as processes on the loopback interface.
 
 use std::net::{SocketAddr, TcpListener};
 use std::path::PathBuf;
@@ -12,32 +12,32 @@
 
 use crate::process::{self, Process};
 
-/// The caller's key.
+/// Key of the caller.
 pub const KEY: &str = "bench";
-/// The operator's key.
+/// Key of the operator.
 pub const OPERATOR_KEY: &str = "operator";
-/// The model.
+/// Name of the model.
 pub const MODEL: &str = "bench";
 /// Layers of the model.
 pub const LAYERS: u32 = 24;
-/// Time for the daemon to get ready.
-const READY_TRIES: u32 = 100;
-const READY_PAUSE: Duration = Duration::from_millis(50);
+/// Number of readiness checks before the start of the daemon fails.
+const MAX_READY_POLLS: u32 = 100;
+const READY_POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// What to set up.
+/// Processes to start.
 #[derive(Debug, Clone)]
 pub struct Options {
-    /// Stages of the chain.
+    /// Number of stages of the chain.
     pub stages: u32,
-    /// Engines of each stage.
+    /// Engines per stage.
     pub replicas: u32,
     /// Bytes of one activation.
     pub activation_bytes: usize,
-    /// Requests each engine holds.
+    /// Slots per engine.
     pub slots: u32,
-    /// Microseconds of each engine iteration.
+    /// Base time of an engine iteration, in µs.
     pub base_us: u64,
-    /// Microseconds for each layer and position.
+    /// Time per layer and position, in µs.
     pub per_layer_us: u64,
     /// Mebibytes of stage inputs that the daemon keeps for replay.
     pub replay_mib: usize,
@@ -45,7 +45,7 @@
 
 /// The processes of an experiment.
 pub struct Setup {
-    /// The daemon.
+    /// The daemon under test.
     pub daemon: Process,
     /// Base address for callers.
     pub callers: String,
@@ -53,7 +53,7 @@
     pub operators: String,
     /// Base addresses of the engines, stage by stage.
     pub engines: Vec<String>,
-    _others: Vec<Process>,
+    _processes: Vec<Process>,
     settings: PathBuf,
 }
 
@@ -63,16 +63,16 @@
     }
 }
 
-/// Start everything and wait until the daemon is ready.
+/// Starts all processes and waits until the daemon is ready.
 pub async fn start(options: &Options) -> Result<Setup, String> {
-    let mut others = Vec::new();
+    let mut processes = Vec::new();
     let (process, log) = process::standin(&["log".to_owned()])?;
-    others.push(process);
-    let (engines, declared) = start_engines(options, &mut others)?;
+    processes.push(process);
+    let (engines, declared) = start_engines(options, &mut processes)?;
     let boxes = declared.iter().map(|engine| engine.box_name.clone());
     let list_args: Vec<String> = std::iter::once("list".to_owned()).chain(boxes).collect();
     let (process, list) = process::standin(&list_args)?;
-    others.push(process);
+    processes.push(process);
     publish_declarations(&log, &list, declared).await?;
     let (callers, operators) = (free_address()?, free_address()?);
     let settings = write_settings(&log, &list, callers, operators, options.replay_mib)?;
@@ -82,7 +82,7 @@
         callers: format!("http://{callers}"),
         operators: format!("http://{operators}"),
         engines,
-        _others: others,
+        _processes: processes,
         settings,
     };
     wait_ready(&setup).await?;
@@ -91,7 +91,7 @@
 
 fn start_engines(
     options: &Options,
-    others: &mut Vec<Process>,
+    processes: &mut Vec<Process>,
 ) -> Result<(Vec<String>, Vec<Engine>), String> {
     let each = LAYERS / options.stages;
     let mut urls = Vec::new();
@@ -107,7 +107,7 @@
                 },
             };
             let (process, url) = process::standin(&engine_arguments(options, layers))?;
-            others.push(process);
+            processes.push(process);
             urls.push(url.clone());
             declared.push(Engine {
                 name: format!("e{stage}-{replica}"),
@@ -166,7 +166,7 @@
         .map_err(|err| format!("the declarations could not be published: {err:?}"))
 }
 
-/// An address that was free a moment ago; the daemon's settings need a fixed one.
+/// Returns a currently free address, since the daemon's settings need a fixed one. Another process may still take it.
 fn free_address() -> Result<SocketAddr, String> {
     let listener = TcpListener::bind(("127.0.0.1", 0)).map_err(|err| err.to_string())?;
     listener.local_addr().map_err(|err| err.to_string())
@@ -198,12 +198,12 @@
 async fn wait_ready(setup: &Setup) -> Result<(), String> {
     let client = reqwest::Client::new();
     let url = format!("{}/v1/models", setup.callers);
-    for _ in 0..READY_TRIES {
+    for _ in 0..MAX_READY_POLLS {
         let answer = client.get(&url).bearer_auth(KEY).send().await;
         if answer.is_ok_and(|answer| answer.status().is_success()) {
             return Ok(());
         }
-        tokio::time::sleep(READY_PAUSE).await;
+        tokio::time::sleep(READY_POLL_INTERVAL).await;
     }
     Err("the daemon did not get ready".to_owned())
 }
--- a/reachtally-bench/src/sim.rs
+++ b/reachtally-bench/src/sim.rs
@@ -1,4 +1,4 @@
-//! Fleets on the virtual clock for the experiments that measure decisions.
+//! Simulated fleets on a virtual clock, for experiments on the core.
 
 use std::time::Duration;
 
@@ -9,29 +9,29 @@
 use reachtally_standin::engine::{Options, StepTime};
 use reachtally_standin::fabric::{Fabric, FakeEngine, FakeService};
 
-/// The model of every scene.
+/// Name of the model.
 pub const MODEL: &str = "m";
-/// The service whose calls may not be repeated.
+/// Name of the service whose calls must not be repeated.
 pub const ORDERS: &str = "orders";
-/// How long callers wait.
+/// Time that callers wait for an answer.
 const PATIENCE: Duration = Duration::from_secs(600);
 
-/// A fleet of one kind of engine.
+/// A fleet of identical engines.
 #[derive(Debug, Clone, Copy)]
 pub struct Fleet {
-    /// Stages of the model.
+    /// Number of stages of the model.
     pub stages: u32,
-    /// Engines of each stage.
+    /// Engines per stage.
     pub replicas: u32,
-    /// Layers of each stage.
+    /// Layers per stage.
     pub layers_each: u32,
-    /// Step-time model.
+    /// Step-time model of the engines.
     pub step_time: StepTime,
-    /// Requests each engine holds.
+    /// Slots per engine.
     pub slots: u32,
 }
 
-/// Daemons before a fleet and a service with one instance.
+/// Creates daemons in front of a fleet of engines and of a service with one instance.
 pub fn fabric(daemons: usize, fleet: Fleet, limits: &Limits) -> Fabric {
     let mut fabric = Fabric::new(daemons, limits);
     let layers = fleet.stages * fleet.layers_each;
@@ -93,7 +93,7 @@
     }
 }
 
-/// A completion with a prompt of `words` words.
+/// Returns a completion request with a prompt of `words` words.
 pub fn completion(words: u32, max_tokens: u32) -> NewRequest {
     NewRequest {
         account: "a".to_owned(),
@@ -107,7 +107,7 @@
     }
 }
 
-/// An order under a key.
+/// Returns an order with an idempotency key.
 pub fn order(key: &str) -> NewRequest {
     NewRequest {
         account: "a".to_owned(),
--- a/reachtally-bench/src/sse.rs
+++ b/reachtally-bench/src/sse.rs
@@ -1,4 +1,4 @@
-//! A streaming caller.
+//! A client that reads a completion as a stream of events.
 
 use std::time::{Duration, Instant};
 
@@ -7,29 +7,29 @@
 
 use crate::setup::{KEY, MODEL};
 
-/// What a streaming caller saw.
+/// Result of reading a stream.
 #[derive(Debug, Clone, Default)]
-pub struct Seen {
+pub struct StreamResult {
     /// Time from sending the request to the first token.
     pub first_token: Duration,
-    /// Tokens.
+    /// Number of tokens received.
     pub tokens: u32,
-    /// Whether the last event said `completed`.
+    /// Whether the outcome in the last event was `completed`.
     pub completed: bool,
 }
 
-/// The mark of an event that carries a token.
+/// Text that occurs in every event with a token.
 const TOKEN_MARK: &[u8] = b"\"finish_reason\":null";
-/// The mark of the outcome in the last event.
+/// Text that occurs in the last event of a completed stream.
 const COMPLETED_MARK: &[u8] = b"\"outcome\":\"completed\"";
 
-/// Ask for `max_tokens` tokens as a stream and read it to its end.
+/// Requests a stream of `max_tokens` tokens and reads it to its end.
 pub async fn stream(
     client: &Client,
     callers: &str,
     prompt: &str,
     max_tokens: u32,
-) -> Result<Seen, String> {
+) -> Result<StreamResult, String> {
     let body = json!({
         "model": MODEL, "prompt": prompt, "max_tokens": max_tokens, "stream": true
     });
@@ -44,7 +44,7 @@
         let text = response.text().await.unwrap_or_default();
         return Err(format!("{status}: {text}"));
     }
-    let mut seen = Seen::default();
+    let mut result = StreamResult::default();
     let mut rest = Vec::new();
     while let Some(chunk) = response.chunk().await.map_err(|err| err.to_string())? {
         rest.extend_from_slice(&chunk);
@@ -54,13 +54,13 @@
             .map_or(0, |at| at + 1);
         let lines: Vec<u8> = rest.drain(..whole).collect();
         let tokens = count(&lines, TOKEN_MARK);
-        if seen.tokens == 0 && tokens > 0 {
-            seen.first_token = sent.elapsed();
+        if result.tokens == 0 && tokens > 0 {
+            result.first_token = sent.elapsed();
         }
-        seen.tokens += tokens;
-        seen.completed |= count(&lines, COMPLETED_MARK) > 0;
+        result.tokens += tokens;
+        result.completed |= count(&lines, COMPLETED_MARK) > 0;
     }
-    Ok(seen)
+    Ok(result)
 }
 
 fn count(text: &[u8], mark: &[u8]) -> u32 {
