--- a/reachtally-bench/src/admission/engines.rs
+++ b/reachtally-bench/src/admission/engines.rs
@@ -82,7 +82,7 @@
     rate: (f64, u64),
     /// Requests queued for KV, by rank and number; the most urgent come first.
     queued: BTreeSet<(u8, usize)>,
-    begun: u64,
+    started: u64,
     /// Requests per second that its chain runs with its KV in full use.
     capacity: f64,
 }
@@ -134,7 +134,7 @@
                 prefill_until: 0,
                 rate: (0.0, 0),
                 queued: BTreeSet::new(),
-                begun: 0,
+                started: 0,
                 capacity: 0.0,
             }
         };
@@ -221,7 +221,7 @@
         let mut token_ms = 0.0;
         for number in &job.path {
             let engine = &mut self.all[*number];
-            engine.begun += 1;
+            engine.started += 1;
             engine.running += 1;
             engine.held += job.load.held();
             let passed = (now - engine.rate.1) as f64 / 1e6;
@@ -305,17 +305,17 @@
 
     /// Largest ratio over all engines of requests started to capacity, relative to the ratio of all engines together.
     pub fn max_load_ratio(&self) -> f64 {
-        let begun: u64 = self.all.iter().map(|engine| engine.begun).sum();
+        let started: u64 = self.all.iter().map(|engine| engine.started).sum();
         let capacity: f64 = self.all.iter().map(|engine| engine.capacity).sum();
-        let mean = begun.max(1) as f64 / capacity;
-        let relative_load = |engine: &Engine| engine.begun as f64 / engine.capacity / mean;
+        let mean = started.max(1) as f64 / capacity;
+        let relative_load = |engine: &Engine| engine.started as f64 / engine.capacity / mean;
         self.all.iter().map(relative_load).fold(0.0, f64::max)
     }
 
     /// Resets the counts of started requests.
     pub fn start_measurement(&mut self) {
         for engine in &mut self.all {
-            engine.begun = 0;
+            engine.started = 0;
         }
     }
 }
--- a/reachtally-bench/src/choice/engines.rs
+++ b/reachtally-bench/src/choice/engines.rs
@@ -75,7 +75,7 @@
     /// KV tokens in use.
     held: f64,
     /// Number of started requests.
-    pub begun: u32,
+    pub started: u32,
 }
 
 /// Size of a request in tokens.
@@ -121,7 +121,7 @@
     let mut at = now;
     for number in path {
         let engine = &mut engines[*number];
-        engine.begun += 1;
+        engine.started += 1;
         engine.held += load.held();
         engine.busy_until = engine.busy_until.max(at + HOP_US) + read_us as u64;
         at = engine.busy_until;
--- a/reachtally-bench/src/choice/play.rs
+++ b/reachtally-bench/src/choice/play.rs
@@ -35,7 +35,7 @@
     late: u32,
     sends: u32,
     refused: u32,
-    begun: Vec<u32>,
+    started: Vec<u32>,
     seconds: f64,
     boxes: usize,
     /// Messages and bytes of boxes that are not collectors.
@@ -46,9 +46,9 @@
 impl Outcome {
     /// Requests at the busiest engine, relative to the mean.
     pub fn spread(&self) -> f64 {
-        let most = self.begun.iter().max().copied().unwrap_or_default();
-        let sum: u32 = self.begun.iter().sum();
-        f64::from(most) * self.begun.len() as f64 / f64::from(sum.max(1))
+        let max = self.started.iter().max().copied().unwrap_or_default();
+        let sum: u32 = self.started.iter().sum();
+        f64::from(max) * self.started.len() as f64 / f64::from(sum.max(1))
     }
 
     /// Percentage of requests whose first event was late or missing.
@@ -221,7 +221,7 @@
         let choice = select::path(&sim_box.fleet, SERVICE, &self.model, need, &cx)?;
         let path = sim_box.engine_numbers(&choice.path)?;
         self.outcome.sends += 1;
-        let begun = engines::begin(
+        let started = engines::begin(
             &mut self.engines,
             &path,
             load,
@@ -229,12 +229,15 @@
             self.timeline.now_us(),
         );
         let sim_box = &mut self.exchange.boxes[box_index];
-        let times = match begun {
+        let times = match started {
             Ok(times) => times,
             Err(full) => {
                 self.outcome.refused += 1;
                 let key = sim_box.keys[full];
-                let engine = sim_box.fleet.get_mut(key).expect("engines never leave");
+                let engine = sim_box
+                    .fleet
+                    .get_mut(key)
+                    .expect("engines are never removed");
                 engine.health.refused(now);
                 return None;
             }
@@ -258,7 +261,7 @@
     fn start_measurement(&mut self) {
         self.outcome = Outcome::default();
         for engine in &mut self.engines {
-            engine.begun = 0;
+            engine.started = 0;
         }
         for sim_box in &mut self.exchange.boxes {
             sim_box.messages = 0;
@@ -273,7 +276,7 @@
             .split_at(self.exchange.boxes.len().min(DOMAINS));
         let messages = |boxes: &[SimBox]| boxes.iter().map(|sim_box| sim_box.messages).sum();
         Outcome {
-            begun: self.engines.iter().map(|engine| engine.begun).collect(),
+            started: self.engines.iter().map(|engine| engine.started).collect(),
             seconds: f64::from(self.options.seconds),
             boxes: self.exchange.boxes.len(),
             plain: (
--- a/reachtally-bench/src/claims.rs
+++ b/reachtally-bench/src/claims.rs
@@ -74,12 +74,12 @@
 fn saturate(options: &Options, report: &mut Report) {
     let mut fabric = fabric();
     let ticks = options.seconds * 1000 / ARRIVAL_INTERVAL.as_millis() as u32;
-    let each = options.rate * ARRIVAL_INTERVAL.as_millis() as u32 / 1000;
+    let per_tick = options.rate * ARRIVAL_INTERVAL.as_millis() as u32 / 1000;
     let mut number = 0u64;
     let mut keys = Vec::new();
     for _ in 0..ticks {
         for daemon in 0..DAEMONS {
-            for _ in 0..each {
+            for _ in 0..per_tick {
                 number += 1;
                 keys.push((daemon, fabric.ask(daemon, sim::order(&number.to_string()))));
             }
@@ -117,9 +117,9 @@
     );
     let runs = max_runs(&fabric);
     if runs != 1 || completed < keys.len() as f64 {
-        let asked = keys.len();
+        let sent = keys.len();
         report.violations.push(format!(
-            "{completed} of {asked} completed, a key ran {runs} times"
+            "{completed} of {sent} completed, a key ran {runs} times"
         ));
     }
 }
@@ -139,14 +139,14 @@
     let mut fabric = fabric();
     let mut rng = ChaCha8Rng::seed_from_u64(options.seed);
     let mut tally = Tally::default();
-    let mut asked: Vec<(u64, usize, RequestKey)> = Vec::new();
+    let mut pending: Vec<(u64, usize, RequestKey)> = Vec::new();
     let mut ended: Vec<(u64, End)> = Vec::new();
     let ticks = options.seconds * 1000 / ARRIVAL_INTERVAL.as_millis() as u32;
     let mut number = 0;
     for _ in 0..ticks {
         if rng.random_range(0..FAULT_ONE_IN) == 0 {
             tally.faults += 1;
-            inject(&mut fabric, &mut rng, &mut asked, &mut ended);
+            inject(&mut fabric, &mut rng, &mut pending, &mut ended);
         }
         for daemon in 0..DAEMONS {
             let retry = number > 0 && rng.random_range(0..RETRY_ONE_IN) == 0;
@@ -157,14 +157,14 @@
                 number += 1;
                 number
             };
-            let row = fabric.ask(daemon, sim::order(&key.to_string()));
-            asked.push((key, daemon, row));
+            let request = fabric.ask(daemon, sim::order(&key.to_string()));
+            pending.push((key, daemon, request));
         }
         fabric.run_for(ARRIVAL_INTERVAL);
     }
     fabric.heal_log();
     fabric.run_for(SETTLE_TIME);
-    collect(&fabric, &mut asked, &mut ended, None);
+    collect(&fabric, &mut pending, &mut ended, None);
     for (_, end) in &ended {
         match end {
             End::Answered(_) => tally.completed += 1,
@@ -197,15 +197,15 @@
 /// Moves the outcomes of finished requests to `ended`, of the daemon `of` or of all; unfinished ones are dropped.
 fn collect(
     fabric: &Fabric,
-    asked: &mut Vec<(u64, usize, RequestKey)>,
+    pending: &mut Vec<(u64, usize, RequestKey)>,
     ended: &mut Vec<(u64, End)>,
     of: Option<usize>,
 ) {
-    asked.retain(|(number, daemon, row)| {
+    pending.retain(|(number, daemon, request)| {
         if of.is_some_and(|of| of != *daemon) {
             return true;
         }
-        if let Some(end) = fabric.nodes[*daemon].answered[row].end.clone() {
+        if let Some(end) = fabric.nodes[*daemon].answered[request].end.clone() {
             ended.push((*number, end));
         }
         false
@@ -215,7 +215,7 @@
 fn inject(
     fabric: &mut Fabric,
     rng: &mut ChaCha8Rng,
-    asked: &mut Vec<(u64, usize, RequestKey)>,
+    pending: &mut Vec<(u64, usize, RequestKey)>,
     ended: &mut Vec<(u64, End)>,
 ) {
     let daemon = rng.random_range(0..DAEMONS);
@@ -231,7 +231,7 @@
         }
         4 => fabric.heal_log(),
         _ => {
-            collect(fabric, asked, ended, Some(daemon));
+            collect(fabric, pending, ended, Some(daemon));
             let incarnation = rng.random_range(1000..u64::MAX);
             fabric.restart(daemon, incarnation, &Limits::default());
         }
@@ -251,9 +251,9 @@
     };
     for (number, end) in ended {
         if matches!(end, End::Answered(_) | End::Recorded(_)) && runs_of(*number) != 1 {
-            report
-                .violations
-                .push(format!("key {number} was answered and ran not once"));
+            report.violations.push(format!(
+                "key {number} was answered but did not run exactly once"
+            ));
         }
     }
 }
--- a/reachtally-bench/src/control.rs
+++ b/reachtally-bench/src/control.rs
@@ -318,5 +318,6 @@
 /// Returns the resident memory of this process in bytes.
 fn resident() -> Result<u64, String> {
     let status = std::fs::read_to_string("/proc/self/status").map_err(|err| err.to_string())?;
-    crate::process::resident_of(&status).ok_or_else(|| "no resident memory is shown".to_owned())
+    crate::process::resident_of(&status)
+        .ok_or_else(|| "/proc/self/status shows no resident memory".to_owned())
 }
--- a/reachtally-bench/src/drain.rs
+++ b/reachtally-bench/src/drain.rs
@@ -49,13 +49,13 @@
     let pid = Pid::from_raw(setup.daemon.id() as i32);
     kill(pid, Signal::SIGTERM).map_err(|err| err.to_string())?;
     let mut report = Report::default();
-    let mut whole = 0u32;
+    let mut complete = 0u32;
     while let Some(result) = streams.join_next().await {
         match result.map_err(|err| err.to_string())? {
-            Ok(result) if result.completed && result.tokens == options.tokens => whole += 1,
+            Ok(result) if result.completed && result.tokens == options.tokens => complete += 1,
             other => report
                 .violations
-                .push(format!("a stream was cut: {other:?}")),
+                .push(format!("a stream was cut off: {other:?}")),
         }
     }
     let streamed = signaled_at.elapsed();
@@ -72,7 +72,7 @@
     );
     report.add(
         "streams whole",
-        f64::from(whole),
+        f64::from(complete),
         "",
         Goal::AtLeast(f64::from(options.streams)),
     );
--- a/reachtally-bench/src/faults.rs
+++ b/reachtally-bench/src/faults.rs
@@ -56,7 +56,7 @@
     };
     tokio::time::timeout(SETTLE_TIME + SETTLE_TIME, settled)
         .await
-        .map_err(|_| "callers were left without an answer".to_owned())??;
+        .map_err(|_| "some callers did not finish after the last fault".to_owned())??;
     let mut report = Report::default();
     report.violations.append(&mut tally.violations);
     report
--- a/reachtally-bench/src/faults/callers.rs
+++ b/reachtally-bench/src/faults/callers.rs
@@ -132,24 +132,24 @@
                 .map(|token| token.text)
                 .collect();
             if answer.text != expected {
-                tally
-                    .violations
-                    .push(format!("{prompt}: the answer is not the model's"));
+                tally.violations.push(format!(
+                    "{prompt}: the answer differs from the reference model"
+                ));
             }
         }
         Some("not-run") => {
             tally.not_run += 1;
             if !answer.text.is_empty() {
-                tally
-                    .violations
-                    .push(format!("{prompt}: not run, yet tokens came"));
+                tally.violations.push(format!(
+                    "{prompt}: reported as not run, but tokens were received"
+                ));
             }
         }
         Some(_) => tally.unknown += 1,
         None if disturbed => tally.cut_by_crash += 1,
         None => tally
             .violations
-            .push(format!("{prompt}: cut off without an outcome")),
+            .push(format!("{prompt}: the stream ended without an outcome")),
     }
 }
 
@@ -168,12 +168,12 @@
             .and_then(|value| value.to_str().ok())
             .map(str::to_owned),
     };
-    let mut rest = String::new();
+    let mut pending = String::new();
     while let Ok(Some(chunk)) = response.chunk().await {
-        rest.push_str(&String::from_utf8_lossy(&chunk));
-        while let Some((line, after)) = rest.split_once('\n') {
+        pending.push_str(&String::from_utf8_lossy(&chunk));
+        while let Some((line, after)) = pending.split_once('\n') {
             parse_line(line, &mut answer);
-            rest = after.to_owned();
+            pending = after.to_owned();
         }
     }
     answer
--- a/reachtally-bench/src/faults/checks.rs
+++ b/reachtally-bench/src/faults/checks.rs
@@ -40,12 +40,12 @@
         if completed && times == 0 {
             report
                 .violations
-                .push(format!("order {key} was answered and never ran"));
+                .push(format!("order {key} was answered but never ran"));
         }
         if only_not_run && times > 0 {
             report
                 .violations
-                .push(format!("order {key} was not run, yet it ran"));
+                .push(format!("order {key} was reported as not run but ran"));
         }
         kinds[match (completed, only_not_run) {
             (true, _) => 0,
@@ -57,10 +57,10 @@
     for (name, count) in names.into_iter().zip(kinds) {
         report.add(name, f64::from(count), "", Goal::None);
     }
-    let most = runs.values().max().copied().unwrap_or(0);
+    let max_runs = runs.values().max().copied().unwrap_or(0);
     report.add(
         "most runs of an order",
-        f64::from(most),
+        f64::from(max_runs),
         "",
         Goal::AtMost(1.0),
     );
@@ -70,18 +70,21 @@
 /// Checks that the configuration offset of a daemon never decreases within a run. Returns the violations.
 pub async fn watch_offsets(fleet: SharedFleet, until: Instant) -> Vec<String> {
     let mut violations = Vec::new();
-    let mut seen: Vec<(u64, u64)> = vec![(0, 0); fleet.daemons.len()];
+    let mut last_seen: Vec<(u64, u64)> = vec![(0, 0); fleet.daemons.len()];
     while Instant::now() < until {
-        for (daemon, seen) in fleet.daemons.iter().zip(&mut seen) {
+        for (daemon, last_seen) in fleet.daemons.iter().zip(&mut last_seen) {
             let before = daemon.disturbances();
             let Some(offset) = offset(&fleet, daemon).await else {
                 continue;
             };
-            let same_run = seen.0 == before && before == daemon.disturbances();
-            if same_run && offset < seen.1 {
-                violations.push(format!("an offset went back from {} to {offset}", seen.1));
+            let same_run = last_seen.0 == before && before == daemon.disturbances();
+            if same_run && offset < last_seen.1 {
+                violations.push(format!(
+                    "a configuration offset decreased from {} to {offset}",
+                    last_seen.1
+                ));
             }
-            *seen = (before, offset);
+            *last_seen = (before, offset);
         }
         sleep(WATCH_INTERVAL).await;
     }
--- a/reachtally-bench/src/faults/fleet.rs
+++ b/reachtally-bench/src/faults/fleet.rs
@@ -165,10 +165,10 @@
     let orders = start_stand_in("service")?;
     let mut engines = Vec::new();
     let mut declared = Vec::new();
-    let each = LAYERS / STAGES;
+    let layers_per_stage = LAYERS / STAGES;
     for stage in 0..STAGES {
         for replica in 0..REPLICAS {
-            let (first, end) = (stage * each, (stage + 1) * each);
+            let (first, end) = (stage * layers_per_stage, (stage + 1) * layers_per_stage);
             let engine = start_stand_in(&format!(
                 "engine --first {first} --end {end} --model-layers {LAYERS} --base-us 2000"
             ))?;
@@ -185,8 +185,8 @@
     publish_all(&log.url, &list.url, declared, &orders.url).await?;
     let mut daemons = Vec::new();
     for (number, domain) in DOMAINS.iter().enumerate() {
-        let entrance = if *domain == DOMAINS[0] { 0 } else { 1 };
-        let log = format!("http://{}", log_urls[entrance]);
+        let log_index = if *domain == DOMAINS[0] { 0 } else { 1 };
+        let log = format!("http://{}", log_urls[log_index]);
         daemons.push(daemon(number, domain, &log, &list.url)?);
     }
     let fleet = Fleet {
@@ -255,7 +255,7 @@
     let published = publish::publish(&platform, &operation).await;
     published
         .map(|_| ())
-        .map_err(|err| format!("not published: {err:?}"))
+        .map_err(|err| format!("publishing the declarations failed: {err:?}"))
 }
 
 fn free_address() -> Result<SocketAddr, String> {
@@ -322,5 +322,5 @@
         }
         tokio::time::sleep(READY_POLL_INTERVAL).await;
     }
-    Err(format!("the daemon at {url} does not get ready"))
+    Err(format!("the daemon at {url} did not become ready in time"))
 }
--- a/reachtally-bench/src/limits.rs
+++ b/reachtally-bench/src/limits.rs
@@ -102,8 +102,8 @@
         Policy::Permits => goal,
         Policy::Even | Policy::Demand => Goal::None,
     };
-    let utilization_goal = |least| match limit >= UTILIZATION_GOAL_FROM {
-        true => goal(Goal::AtLeast(least)),
+    let utilization_goal = |min| match limit >= UTILIZATION_GOAL_FROM {
+        true => goal(Goal::AtLeast(min)),
         false => Goal::None,
     };
     let mut add = |what: &str, value, unit, goal| report.add(&name(what), value, unit, goal);
--- a/reachtally-bench/src/limits/play.rs
+++ b/reachtally-bench/src/limits/play.rs
@@ -324,14 +324,14 @@
         match self.parameters.fault {
             Fault::AllStart => {
                 let now = self.timeline.clock();
-                for each in &mut self.boxes {
+                for sim_box in &mut self.boxes {
                     self.next_run += 1;
-                    *each = BoxState::new(self.next_run, now);
+                    *sim_box = BoxState::new(self.next_run, now);
                 }
             }
             Fault::Suspended => {
-                for each in self.boxes.iter_mut().step_by(5) {
-                    each.suspended_until = FAULT_US.0 + 4_000_000;
+                for sim_box in self.boxes.iter_mut().step_by(5) {
+                    sim_box.suspended_until = FAULT_US.0 + 4_000_000;
                 }
             }
             Fault::None | Fault::DomainPartitioned | Fault::LimitDrops => {}
@@ -393,7 +393,7 @@
     }
 
     fn record_propagation(&mut self) {
-        let all_know = || self.boxes.iter().all(|each| each.limit().is_some());
+        let all_know = || self.boxes.iter().all(|sim_box| sim_box.limit().is_some());
         if self.all_know_us.is_none() && all_know() {
             self.all_know_us = Some(self.timeline.now_us());
         }
@@ -497,7 +497,7 @@
         let rates = self
             .boxes
             .iter_mut()
-            .map(|each| rate(&each.demand.services(now)));
+            .map(|sim_box| rate(&sim_box.demand.services(now)));
         self.total_demand = rates.sum();
     }
 
--- a/reachtally-bench/src/overhead.rs
+++ b/reachtally-bench/src/overhead.rs
@@ -172,15 +172,15 @@
         };
         let results = engines.steps(url, batch).await;
         let result = results.ok().and_then(|mut results| results.pop());
-        let result = result.ok_or("an engine did not answer")?;
+        let result = result.ok_or("an engine returned no result")?;
         positions = result.positions;
         match result.output {
             Ok(Output::Activations(bytes)) => input = Input::Activations(bytes),
             Ok(Output::Token { .. }) => return Ok(()),
-            Err(refusal) => return Err(format!("an engine refused: {refusal:?}")),
+            Err(refusal) => return Err(format!("an engine refused the step: {refusal:?}")),
         }
     }
-    Err("the last stage gave no token".to_owned())
+    Err("the last stage returned no token".to_owned())
 }
 
 /// Measures processor time per step and memory with concurrent streams.
@@ -213,7 +213,7 @@
                 if !result.completed || result.tokens != options.tokens {
                     report
                         .violations
-                        .push(format!("a stream was cut: {result:?}"));
+                        .push(format!("a stream was cut off: {result:?}"));
                 }
             }
         }
@@ -263,5 +263,5 @@
     counters
         .get(name)
         .copied()
-        .ok_or_else(|| format!("no counter {name}"))
+        .ok_or_else(|| format!("the daemon has no counter {name:?}"))
 }
--- a/reachtally-bench/src/path.rs
+++ b/reachtally-bench/src/path.rs
@@ -60,7 +60,7 @@
     let choice = mean_us(rounds, |draw| {
         black_box(select_path(&fleet, &model, u64::from(draw)));
     });
-    select_path(&fleet, &model, 0).ok_or("no path is found")?;
+    select_path(&fleet, &model, 0).ok_or("path selection found no path")?;
     let max = MAX_CHOICE_US[usize::from(engines >= MANY_ENGINES)];
     report.add(&name("choice"), choice, "µs", Goal::AtMost(max));
     let load_report = mean_us(rounds, |number| {
@@ -162,13 +162,13 @@
 
 /// Returns the engines with the layers that they hold.
 fn placed(fleet: &Fleet, hosts: &[Host]) -> Vec<Host> {
-    let held = |host: &Host| Host {
+    let with_layers = |host: &Host| Host {
         layers: fleet
             .get(host.engine)
             .map_or(0..0, |row| row.entry.layers.clone()),
         ..host.clone()
     };
-    hosts.iter().map(held).collect()
+    hosts.iter().map(with_layers).collect()
 }
 
 /// Returns the engines without layers.
--- a/reachtally-bench/src/placement.rs
+++ b/reachtally-bench/src/placement.rs
@@ -41,7 +41,7 @@
 
 /// Capacity of a placement, in requests per second.
 struct Capacities {
-    whole: f64,
+    intact: f64,
     /// Worst and mean capacity after the loss of one engine.
     engine: (f64, f64),
     /// Worst and mean capacity after the loss of all engines of a chain.
@@ -68,17 +68,21 @@
     };
     let (hosts, plan_ms) = timed(|| cuts::shipped(case));
     let (capacities, evaluation_ms) = timed(|| measure(case, &hosts));
-    let asked = served(&case.model, &hosts, &case.demand, OBJECTIVES);
+    let demand_served = served(&case.model, &hosts, &case.demand, OBJECTIVES);
     add("bound", cuts::bound(case), "1/s");
-    add("whole", capacities.whole, "1/s");
+    add("whole", capacities.intact, "1/s");
     add("one engine lost, at worst", capacities.engine.0, "1/s");
     add("one engine lost, mean", capacities.engine.1, "1/s");
     add("a chain lost, at worst", capacities.chain.0, "1/s");
     add("a chain lost, mean", capacities.chain.1, "1/s");
-    add("asked and served", asked.combined, "1/s");
-    add("asked and served, domains cut off", asked.isolated, "1/s");
+    add("asked and served", demand_served.combined, "1/s");
+    add(
+        "asked and served, domains cut off",
+        demand_served.isolated,
+        "1/s",
+    );
     let simple = measure(case, &cuts::simple(case));
-    add("better simple plan, whole", simple.whole, "1/s");
+    add("better simple plan, whole", simple.intact, "1/s");
     add(
         "better simple plan, one engine lost, at worst",
         simple.engine.0,
@@ -105,7 +109,7 @@
 
 fn measure(case: &FleetCase, hosts: &[Host]) -> Capacities {
     let flows = flows(&case.model, hosts, OBJECTIVES);
-    let whole = flows.per_s;
+    let intact = flows.per_s;
     let without = |lost: &[usize]| {
         let left = hosts.iter().enumerate();
         let left: Vec<Host> = left
@@ -126,9 +130,9 @@
         .map(|chain| without(chain))
         .collect();
     Capacities {
-        whole,
-        engine: worst_and_mean(&engines, whole),
-        chain: worst_and_mean(&chains, whole),
+        intact,
+        engine: worst_and_mean(&engines, intact),
+        chain: worst_and_mean(&chains, intact),
     }
 }
 
@@ -136,18 +140,18 @@
 /// one is selected.
 fn losses(flows: &Flows, hosts: &[Host]) -> Vec<usize> {
     let all = flows.busiest(hosts, hosts.len());
-    let (first, rest) = all.split_at(all.len().min(MAX_LOSSES / 2));
-    let step = rest.len().div_ceil(MAX_LOSSES / 2).max(1);
+    let (first, others) = all.split_at(all.len().min(MAX_LOSSES / 2));
+    let step = others.len().div_ceil(MAX_LOSSES / 2).max(1);
     first
         .iter()
-        .chain(rest.iter().step_by(step))
+        .chain(others.iter().step_by(step))
         .copied()
         .collect()
 }
 
-fn worst_and_mean(values: &[f64], whole: f64) -> (f64, f64) {
+fn worst_and_mean(values: &[f64], intact: f64) -> (f64, f64) {
     if values.is_empty() {
-        return (whole, whole);
+        return (intact, intact);
     }
     let worst = values.iter().copied().fold(f64::INFINITY, f64::min);
     (worst, values.iter().sum::<f64>() / values.len() as f64)
@@ -161,7 +165,7 @@
     of_simple_lost: Vec<f64>,
     of_bound: Vec<f64>,
     plan_ms: f64,
-    whole: f64,
+    intact: f64,
     worst: f64,
 }
 
@@ -172,27 +176,27 @@
         let simple = measure(case, &cuts::simple(case));
         let bound = cuts::bound(case);
         let ratio = |value: f64, other: f64| if other > 0.0 { value / other } else { 1.0 };
-        let of_simple = ratio(shipped.whole, simple.whole);
+        let of_simple = ratio(shipped.intact, simple.intact);
         self.of_simple.push(of_simple);
         if case.model.cards.len() > 1 {
             self.of_simple_mixed.push(of_simple);
         }
         self.of_simple_lost
             .push(ratio(shipped.engine.0, simple.engine.0));
-        self.of_bound.push(ratio(shipped.whole, bound));
+        self.of_bound.push(ratio(shipped.intact, bound));
         self.plan_ms = self.plan_ms.max(plan_ms);
-        self.whole += shipped.whole;
+        self.intact += shipped.intact;
         self.worst += shipped.engine.0;
         if is_verbose {
             println!(
                 "{}, {} engines: whole {:.2}, one engine lost {:.2} at worst {:.2} mean, chain lost {:.2}; simple {:.2}, {:.2}; bound {bound:.2}; plan {plan_ms:.1} ms",
                 case.name,
                 case.hosts.len(),
-                shipped.whole,
+                shipped.intact,
                 shipped.engine.0,
                 shipped.engine.1,
                 shipped.chain.0,
-                simple.whole,
+                simple.intact,
                 simple.engine.0,
             );
         }
@@ -200,7 +204,7 @@
 
     fn report(mut self, report: &mut Report) {
         let fleets = self.of_simple.len().max(1) as f64;
-        report.add("whole, mean", self.whole / fleets, "1/s", Goal::None);
+        report.add("whole, mean", self.intact / fleets, "1/s", Goal::None);
         report.add(
             "one engine lost at worst, mean",
             self.worst / fleets,
@@ -210,7 +214,7 @@
         let goal = Goal::AtLeast(MIN_OF_SIMPLE);
         report.add(
             "of the better simple plan, least",
-            least(&self.of_simple),
+            minimum(&self.of_simple),
             "",
             goal,
         );
@@ -253,7 +257,7 @@
     }
 }
 
-fn least(values: &[f64]) -> f64 {
+fn minimum(values: &[f64]) -> f64 {
     values.iter().copied().fold(f64::INFINITY, f64::min)
 }
 
--- a/reachtally-bench/src/placement/cuts.rs
+++ b/reachtally-bench/src/placement/cuts.rs
@@ -39,8 +39,8 @@
     let mut hosts = Vec::new();
     for group in groups(case) {
         let parts = (1..=MAX_PATH_PARTS).map(|parts| equal(&case.model, &group, parts));
-        let most = (group.len() / 2).clamp(1, 40);
-        let chains = (1..=most).map(|chains| proportional(&case.model, &group, chains));
+        let max_chains = (group.len() / 2).clamp(1, 40);
+        let chains = (1..=max_chains).map(|chains| proportional(&case.model, &group, chains));
         let options = parts.chain(chains);
         let valued = options.map(|option| (capacity(&case.model, &option, OBJECTIVES), option));
         let best = valued.max_by(|a, b| a.0.total_cmp(&b.0));
@@ -59,14 +59,14 @@
             .push(host.clone());
     }
     let kv = 12.0 * case.model.mean_context_tokens();
-    let is_whole = |group: &Vec<Host>| {
-        let most = group
+    let can_hold_model = |group: &Vec<Host>| {
+        let max_layers = group
             .iter()
             .map(|host| case.model.max_layers(&host.card, kv));
-        most.sum::<u32>() >= case.model.layers
+        max_layers.sum::<u32>() >= case.model.layers
     };
-    let (mut groups, rest): (Vec<_>, Vec<_>) = by_domain.into_values().partition(is_whole);
-    groups.push(rest.concat());
+    let (mut groups, partial): (Vec<_>, Vec<_>) = by_domain.into_values().partition(can_hold_model);
+    groups.push(partial.concat());
     groups.retain(|group| !group.is_empty());
     groups
 }
@@ -74,16 +74,17 @@
 /// Cuts the layers into `parts` equal parts and assigns each engine to the part with the least KV capacity so far.
 fn equal(model: &LayerModel, group: &[Host], parts: usize) -> Vec<Host> {
     let cut = |part: usize| (part * model.layers as usize / parts) as u32;
-    let mut rooms = vec![0.0; parts];
+    let mut kv_capacities = vec![0.0; parts];
     let mut hosts = group.to_vec();
     hosts.sort_by(|a, b| b.card.memory_mb.total_cmp(&a.card.memory_mb));
     for host in &mut hosts {
-        let least = (0..parts).min_by(|a, b| f64::total_cmp(&rooms[*a], &rooms[*b]));
-        let part = least.unwrap_or(0);
+        let smallest =
+            (0..parts).min_by(|a, b| f64::total_cmp(&kv_capacities[*a], &kv_capacities[*b]));
+        let part = smallest.unwrap_or(0);
         let layers = cut(part)..cut(part + 1);
-        let room = model.kv_tokens(&host.card, layers.len() as u32);
-        if room > model.mean_context_tokens() {
-            rooms[part] += room;
+        let kv_capacity = model.kv_tokens(&host.card, layers.len() as u32);
+        if kv_capacity > model.mean_context_tokens() {
+            kv_capacities[part] += kv_capacity;
             host.layers = layers;
         }
     }
@@ -117,16 +118,16 @@
     let model = &case.model;
     let engine = |host: &Host| {
         let each = (1..=model.layers).map(|layers| {
-            let room = model.kv_tokens(&host.card, layers) / model.mean_context_tokens();
-            if room <= 0.0 {
+            let kv_capacity = model.kv_tokens(&host.card, layers) / model.mean_context_tokens();
+            if kv_capacity <= 0.0 {
                 return 0.0;
             }
             let layer_fraction = model.layer_fraction(layers);
-            let batch = (room * layer_fraction).max(1.0);
+            let batch = (kv_capacity * layer_fraction).max(1.0);
             let step_ms = 1.5 * model.step_ms(&host.card, layers, batch) + 0.5;
             let prefill_ms =
                 1.5 * model.prefill_ms(&host.card, layers, model.mean_prompt_tokens) + 0.5;
-            room * layer_fraction * layer_fraction * 1000.0
+            kv_capacity * layer_fraction * layer_fraction * 1000.0
                 / (prefill_ms + model.mean_answer_tokens * step_ms)
         });
         each.fold(0.0, f64::max)
--- a/reachtally-bench/src/placement/fleets.rs
+++ b/reachtally-bench/src/placement/fleets.rs
@@ -139,8 +139,8 @@
 /// Whether all engines together can hold the model and the KV of a dozen requests.
 fn can_hold_model(case: &FleetCase) -> bool {
     let kv = 12.0 * case.model.mean_context_tokens();
-    let most = |host: &Host| case.model.max_layers(&host.card, kv);
-    case.hosts.iter().map(most).sum::<u32>() >= case.model.layers
+    let max_layers = |host: &Host| case.model.max_layers(&host.card, kv);
+    case.hosts.iter().map(max_layers).sum::<u32>() >= case.model.layers
 }
 
 fn build(name: String, mut model: LayerModel, kinds: &[Kind<'_>], per_s: f64) -> FleetCase {
--- a/reachtally-bench/src/process.rs
+++ b/reachtally-bench/src/process.rs
@@ -89,7 +89,10 @@
         .stdout(Stdio::piped())
         .spawn()
         .map_err(|err| err.to_string())?;
-    let stdout = child.stdout.take().ok_or("no standard output")?;
+    let stdout = child
+        .stdout
+        .take()
+        .ok_or("the child process has no standard output")?;
     let mut stdout = BufReader::new(stdout);
     let mut line = String::new();
     let read = stdout.read_line(&mut line);
@@ -115,7 +118,9 @@
         command.arg("--logs");
     }
     let (process, line) = start(&mut command)?;
-    let address = line.parse().map_err(|_| format!("no address: {line}"))?;
+    let address = line
+        .parse()
+        .map_err(|_| format!("the relay printed no valid address: {line:?}"))?;
     Ok((process, address))
 }
 
--- a/reachtally-bench/src/recovery.rs
+++ b/reachtally-bench/src/recovery.rs
@@ -171,7 +171,7 @@
     let reached = |fabric: &Fabric| fabric.nodes[0].answered[&key].tokens.len() as u32;
     while reached(&fabric) < options.tokens {
         if fabric.nodes[0].answered[&key].end.is_some() {
-            return Err("the request ended early".to_owned());
+            return Err("the request ended before the stage failed".to_owned());
         }
         fabric.run_for(Duration::from_millis(1));
     }
@@ -187,7 +187,7 @@
     fabric.run_for(Duration::from_secs(60));
     let answered = &fabric.nodes[0].answered[&key];
     if answered.tokens.len() != total as usize {
-        return Err(format!("the request was cut: {:?}", answered.end));
+        return Err(format!("the request was cut off: {:?}", answered.end));
     }
     Ok(answered.times[before].since(failed_at))
 }
@@ -201,7 +201,7 @@
     }
     fabric.run_until(Instant::ZERO + Duration::from_secs(300));
     if fabric.nodes[0].answered[&key].tokens.len() != options.tokens as usize {
-        return Err("the request was cut".to_owned());
+        return Err("the request was cut off".to_owned());
     }
     let shift = |change: &Change| matches!(change, Change::StageMoved { .. });
     let changes = fabric.nodes[0].changes.iter();
--- a/reachtally-bench/src/relay.rs
+++ b/reachtally-bench/src/relay.rs
@@ -86,7 +86,7 @@
         Goal::None,
     );
     let before = relay.cpu();
-    let whole = streams(address, BUSY_STREAMS, BUSY_EVENTS, BUSY_GAP).await?;
+    let complete = streams(address, BUSY_STREAMS, BUSY_EVENTS, BUSY_GAP).await?;
     let used = (relay.cpu() - before).as_secs_f64() * 1e6;
     let events = f64::from(BUSY_STREAMS * BUSY_EVENTS);
     report.add(
@@ -95,10 +95,10 @@
         "us",
         Goal::AtMost(MAX_EVENT_US),
     );
-    if whole != BUSY_STREAMS {
-        report
-            .violations
-            .push(format!("{whole} of {BUSY_STREAMS} streams were whole"));
+    if complete != BUSY_STREAMS {
+        report.violations.push(format!(
+            "{complete} of {BUSY_STREAMS} streams were received completely"
+        ));
     }
     let streams = hold_open(address, options.streams).await?;
     let open = relay.resident() as f64 / 1e6;
@@ -187,12 +187,12 @@
             read_until(&mut stream, "\r\n0\r\n\r\n").await
         });
     }
-    let mut whole = 0;
+    let mut complete = 0;
     while let Some(ended) = running.join_next().await {
         let is_whole = ended.map_err(|err| err.to_string())??;
-        whole += u32::from(is_whole);
+        complete += u32::from(is_whole);
     }
-    Ok(whole)
+    Ok(complete)
 }
 
 /// Opens streams and waits for the first event of each.
--- a/reachtally-bench/src/report.rs
+++ b/reachtally-bench/src/report.rs
@@ -20,8 +20,8 @@
     fn is_met_by(self, value: f64) -> bool {
         match self {
             Goal::None => true,
-            Goal::AtMost(most) => value <= most,
-            Goal::AtLeast(least) => value >= least,
+            Goal::AtMost(max) => value <= max,
+            Goal::AtLeast(min) => value >= min,
         }
     }
 }
@@ -30,8 +30,8 @@
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         match self {
             Goal::None => Ok(()),
-            Goal::AtMost(most) => write!(f, "at most {most}"),
-            Goal::AtLeast(least) => write!(f, "at least {least}"),
+            Goal::AtMost(max) => write!(f, "at most {max}"),
+            Goal::AtLeast(min) => write!(f, "at least {min}"),
         }
     }
 }
--- a/reachtally-bench/src/setup.rs
+++ b/reachtally-bench/src/setup.rs
@@ -93,17 +93,17 @@
     options: &Options,
     processes: &mut Vec<Process>,
 ) -> Result<(Vec<String>, Vec<Engine>), String> {
-    let each = LAYERS / options.stages;
+    let layers_per_stage = LAYERS / options.stages;
     let mut urls = Vec::new();
     let mut declared = Vec::new();
     for stage in 0..options.stages {
         for replica in 0..options.replicas {
             let layers = Layers {
-                first: stage * each,
+                first: stage * layers_per_stage,
                 end: if stage + 1 == options.stages {
                     LAYERS
                 } else {
-                    (stage + 1) * each
+                    (stage + 1) * layers_per_stage
                 },
             };
             let (process, url) = process::standin(&engine_arguments(options, layers))?;
@@ -163,7 +163,7 @@
     publish::publish(&platform, &operation)
         .await
         .map(|_| ())
-        .map_err(|err| format!("the declarations could not be published: {err:?}"))
+        .map_err(|err| format!("publishing the declarations failed: {err:?}"))
 }
 
 /// Returns a currently free address, since the daemon's settings need a fixed one. Another process may still take it.
@@ -205,5 +205,5 @@
         }
         tokio::time::sleep(READY_POLL_INTERVAL).await;
     }
-    Err("the daemon did not get ready".to_owned())
+    Err("the daemon did not become ready in time".to_owned())
 }
--- a/reachtally-bench/src/sse.rs
+++ b/reachtally-bench/src/sse.rs
@@ -45,14 +45,14 @@
         return Err(format!("{status}: {text}"));
     }
     let mut result = StreamResult::default();
-    let mut rest = Vec::new();
+    let mut pending = Vec::new();
     while let Some(chunk) = response.chunk().await.map_err(|err| err.to_string())? {
-        rest.extend_from_slice(&chunk);
-        let whole = rest
+        pending.extend_from_slice(&chunk);
+        let complete = pending
             .iter()
             .rposition(|byte| *byte == b'\n')
             .map_or(0, |at| at + 1);
-        let lines: Vec<u8> = rest.drain(..whole).collect();
+        let lines: Vec<u8> = pending.drain(..complete).collect();
         let tokens = count(&lines, TOKEN_MARK);
         if result.tokens == 0 && tokens > 0 {
             result.first_token = sent.elapsed();
