--- a/reachtally-bench/src/placement/cuts.rs
+++ b/reachtally-bench/src/placement/cuts.rs
@@ -1,4 +1,4 @@
-//! Simple plans to compare with: equal cuts, and cuts in proportion to memory.
+//! Placements to compare: the shipped one, equal cuts, and cuts in proportion to memory.
 
 use std::collections::BTreeMap;
 
@@ -7,15 +7,15 @@
 use reachtally_core::forward::placement::evaluate::capacity;
 use reachtally_core::forward::placement::{Host, moves};
 
-use super::fleets::{AIM, Case};
+use super::fleets::{FleetCase, OBJECTIVES};
 
-/// Rounds of repair after which a plan is taken as it is.
-const REPAIRS: usize = 20;
+/// Maximum number of repairs of a placement.
+const MAX_REPAIRS: usize = 20;
 
-/// What the shipped placement makes of empty engines, repairs included.
-pub fn shipped(case: &Case) -> Vec<Host> {
+/// Computes the shipped placement of empty engines, with its repairs.
+pub fn shipped(case: &FleetCase) -> Vec<Host> {
     let mut hosts = case.hosts.clone();
-    for _ in 0..REPAIRS {
+    for _ in 0..MAX_REPAIRS {
         let next = moves(&case.model, &hosts);
         if next.is_empty() {
             break;
@@ -33,24 +33,24 @@
     hosts
 }
 
-/// The better of equal cuts and cuts in proportion to memory, each with the number of parts or chains that serves
-/// most, by failure domain.
-pub fn simple(case: &Case) -> Vec<Host> {
+/// Computes the better of equal cuts and cuts in proportion to memory for each failure domain, each with the number of parts or
+/// chains that has the largest capacity.
+pub fn simple(case: &FleetCase) -> Vec<Host> {
     let mut hosts = Vec::new();
     for group in groups(case) {
         let parts = (1..=MAX_PATH_PARTS).map(|parts| equal(&case.model, &group, parts));
-        let most = (group.len() / 2).clamp(1, 40);
-        let chains = (1..=most).map(|chains| proportional(&case.model, &group, chains));
+        let max_chains = (group.len() / 2).clamp(1, 40);
+        let chains = (1..=max_chains).map(|chains| proportional(&case.model, &group, chains));
         let options = parts.chain(chains);
-        let valued = options.map(|option| (capacity(&case.model, &option, AIM), option));
+        let valued = options.map(|option| (capacity(&case.model, &option, OBJECTIVES), option));
         let best = valued.max_by(|a, b| a.0.total_cmp(&b.0));
         hosts.extend(best.map_or(group, |(_, best)| best));
     }
     hosts
 }
 
-/// Engines by failure domain; those of domains that cannot hold the model alone are one group.
-fn groups(case: &Case) -> Vec<Vec<Host>> {
+/// Groups engines by failure domain; all domains that cannot hold the model alone form one group.
+fn groups(case: &FleetCase) -> Vec<Vec<Host>> {
     let mut by_domain: BTreeMap<&str, Vec<Host>> = BTreeMap::new();
     for host in &case.hosts {
         by_domain
@@ -59,38 +59,39 @@
             .push(host.clone());
     }
     let kv = 12.0 * case.model.mean_context_tokens();
-    let is_whole = |group: &Vec<Host>| {
-        let most = group
+    let can_hold_model = |group: &Vec<Host>| {
+        let max_layers = group
             .iter()
             .map(|host| case.model.max_layers(&host.card, kv));
-        most.sum::<u32>() >= case.model.layers
+        max_layers.sum::<u32>() >= case.model.layers
     };
-    let (mut groups, rest): (Vec<_>, Vec<_>) = by_domain.into_values().partition(is_whole);
-    groups.push(rest.concat());
+    let (mut groups, partial): (Vec<_>, Vec<_>) = by_domain.into_values().partition(can_hold_model);
+    groups.push(partial.concat());
     groups.retain(|group| !group.is_empty());
     groups
 }
 
-/// Layers cut into `parts` equal parts, each engine at the one that has least room so far.
+/// Cuts the layers into `parts` equal parts and assigns each engine to the part with the least KV capacity so far.
 fn equal(model: &LayerModel, group: &[Host], parts: usize) -> Vec<Host> {
     let cut = |part: usize| (part * model.layers as usize / parts) as u32;
-    let mut rooms = vec![0.0; parts];
+    let mut kv_capacities = vec![0.0; parts];
     let mut hosts = group.to_vec();
     hosts.sort_by(|a, b| b.card.memory_mb.total_cmp(&a.card.memory_mb));
     for host in &mut hosts {
-        let least = (0..parts).min_by(|a, b| f64::total_cmp(&rooms[*a], &rooms[*b]));
-        let part = least.unwrap_or(0);
+        let smallest =
+            (0..parts).min_by(|a, b| f64::total_cmp(&kv_capacities[*a], &kv_capacities[*b]));
+        let part = smallest.unwrap_or(0);
         let layers = cut(part)..cut(part + 1);
-        let room = model.kv_tokens(&host.card, layers.len() as u32);
-        if room > model.mean_context_tokens() {
-            rooms[part] += room;
+        let kv_capacity = model.kv_tokens(&host.card, layers.len() as u32);
+        if kv_capacity > model.mean_context_tokens() {
+            kv_capacities[part] += kv_capacity;
             host.layers = layers;
         }
     }
     hosts
 }
 
-/// Engines dealt to `chains` chains by size, each with layers in proportion to its part of the chain's memory.
+/// Distributes engines by memory over `chains` chains; each engine gets layers in proportion to its share of the chain's memory.
 fn proportional(model: &LayerModel, group: &[Host], chains: usize) -> Vec<Host> {
     let mut hosts = group.to_vec();
     hosts.sort_by(|a, b| b.card.memory_mb.total_cmp(&a.card.memory_mb));
@@ -110,23 +111,23 @@
     hosts
 }
 
-/// A bound on what any plan serves. An engine with `x` of `N` layers and room for `n` requests contributes at most `n x / N`
-/// of a request for as long as a path of engines like it takes, since 1 over the time of a path is at most the mean of that
-/// over its engines by their layers. Objectives, places and reading by others are left out.
-pub fn bound(case: &Case) -> f64 {
+/// Upper bound on the capacity of any placement. An engine with `x` of `N` layers and KV for `n` requests contributes at most
+/// `n x / N` requests per duration of a path of engines like it, since the reciprocal of a path's duration is at most the mean of
+/// that of its engines, weighted by their layers. Objectives, failure domains and the prefill of other requests are ignored.
+pub fn bound(case: &FleetCase) -> f64 {
     let model = &case.model;
     let engine = |host: &Host| {
         let each = (1..=model.layers).map(|layers| {
-            let room = model.kv_tokens(&host.card, layers) / model.mean_context_tokens();
-            if room <= 0.0 {
+            let kv_capacity = model.kv_tokens(&host.card, layers) / model.mean_context_tokens();
+            if kv_capacity <= 0.0 {
                 return 0.0;
             }
             let layer_fraction = model.layer_fraction(layers);
-            let batch = (room * layer_fraction).max(1.0);
+            let batch = (kv_capacity * layer_fraction).max(1.0);
             let step_ms = 1.5 * model.step_ms(&host.card, layers, batch) + 0.5;
             let prefill_ms =
                 1.5 * model.prefill_ms(&host.card, layers, model.mean_prompt_tokens) + 0.5;
-            room * layer_fraction * layer_fraction * 1000.0
+            kv_capacity * layer_fraction * layer_fraction * 1000.0
                 / (prefill_ms + model.mean_answer_tokens * step_ms)
         });
         each.fold(0.0, f64::max)
