--- a/reachtally-bench/src/claims.rs
+++ b/reachtally-bench/src/claims.rs
@@ -162,7 +162,7 @@
         }
         fabric.run_for(ARRIVAL_INTERVAL);
     }
-    fabric.heal_log();
+    fabric.reconnect_log();
     fabric.run_for(SETTLE_TIME);
     collect(&fabric, &mut pending, &mut ended, None);
     for (_, end) in &ended {
@@ -229,7 +229,7 @@
         3 => {
             fabric.log.cut.insert(daemon);
         }
-        4 => fabric.heal_log(),
+        4 => fabric.reconnect_log(),
         _ => {
             collect(fabric, pending, ended, Some(daemon));
             let incarnation = rng.random_range(1000..u64::MAX);
--- a/reachtally-bench/src/control.rs
+++ b/reachtally-bench/src/control.rs
@@ -171,7 +171,7 @@
             max_tokens: 100,
         }),
         idempotency_key: None,
-        patience: Duration::from_secs(60),
+        request_timeout: Duration::from_secs(60),
     }
 }
 
--- a/reachtally-bench/src/sim.rs
+++ b/reachtally-bench/src/sim.rs
@@ -103,7 +103,7 @@
             max_tokens,
         }),
         idempotency_key: None,
-        patience: PATIENCE,
+        request_timeout: PATIENCE,
     }
 }
 
@@ -119,6 +119,6 @@
             body: Bytes::from_static(b"ten pallets"),
         }),
         idempotency_key: Some(key.to_owned()),
-        patience: PATIENCE,
+        request_timeout: PATIENCE,
     }
 }
--- a/reachtally-clock/src/lib.rs
+++ b/reachtally-clock/src/lib.rs
@@ -62,7 +62,7 @@
     }
 
     /// Starts a clock that follows the runtime's clock alone, for tests and simulations on a paused clock.
-    pub fn of_runtime() -> Self {
+    pub fn runtime_only() -> Self {
         let started = time::Instant::now();
         Clock::start(Box::new(move || Some(started.elapsed())))
     }
--- a/reachtally-clock/tests/clock/main.rs
+++ b/reachtally-clock/tests/clock/main.rs
@@ -45,7 +45,7 @@
 fn it_follows_the_runtime_clock() {
     run_paused(async {
         for clock in [
-            Clock::of_runtime(),
+            Clock::runtime_only(),
             Clock::start(boot_clock(&Suspended::default())),
         ] {
             let start = clock.now();
--- a/reachtally-command/src/answer.rs
+++ b/reachtally-command/src/answer.rs
@@ -20,7 +20,7 @@
 /// The response to a command.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
-pub enum CommandAnswer {
+pub enum CommandResponse {
     /// The result of a query.
     Table(Table),
     /// The result of a configuration change.
@@ -29,7 +29,7 @@
 
 /// The response to a request that failed.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Problem {
+pub struct ErrorResponse {
     /// The error message: a sentence, or several lines that mark a position in the command.
     pub message: String,
 }
--- a/reachtally-command/src/lib.rs
+++ b/reachtally-command/src/lib.rs
@@ -6,6 +6,6 @@
 pub mod parse;
 pub mod table;
 
-pub use answer::{CommandAnswer, Problem, Published};
+pub use answer::{CommandResponse, ErrorResponse, Published};
 pub use parse::{Command, Subject, parse};
 pub use table::Table;
--- a/reachtally-config/src/settings.rs
+++ b/reachtally-config/src/settings.rs
@@ -69,7 +69,7 @@
     /// Maximum size of a caller's request body, in bytes.
     pub body_bytes: u64,
     /// Maximum duration of a caller's request.
-    pub patience: Duration,
+    pub request_timeout: Duration,
     /// How long the daemon reports `false` for readiness before it refuses new work on shutdown, so that the
     /// load balancer notices.
     pub stop_notice: Duration,
@@ -114,7 +114,7 @@
 /// Default of `limits.body_bytes`.
 pub const BODY_BYTES: u64 = 1 << 20;
 /// Default of `limits.patience_s`.
-pub const PATIENCE: Duration = Duration::from_secs(120);
+pub const REQUEST_TIMEOUT: Duration = Duration::from_secs(120);
 /// Default of `limits.stop_notice_ms`.
 pub const STOP_NOTICE: Duration = Duration::from_millis(1000);
 
@@ -165,7 +165,7 @@
         statsd,
         operator_keys,
         body_bytes: bounds.body_bytes,
-        patience: bounds.patience,
+        request_timeout: bounds.request_timeout,
         stop_notice: bounds.stop_notice,
         limits: bounds.limits,
     })
@@ -174,7 +174,7 @@
 /// The values of the field `limits`.
 struct Bounds {
     body_bytes: u64,
-    patience: Duration,
+    request_timeout: Duration,
     stop_notice: Duration,
     limits: Limits,
 }
@@ -242,7 +242,7 @@
 fn read_bounds(reader: &mut Reader<'_>, root: &Node<'_, '_>) -> Bounds {
     let mut bounds = Bounds {
         body_bytes: BODY_BYTES,
-        patience: PATIENCE,
+        request_timeout: REQUEST_TIMEOUT,
         stop_notice: STOP_NOTICE,
         limits: Limits::default(),
     };
@@ -264,7 +264,7 @@
         bounds.body_bytes = bytes;
     }
     if let Some(seconds) = number("patience_s", 1, 3600) {
-        bounds.patience = Duration::from_secs(seconds);
+        bounds.request_timeout = Duration::from_secs(seconds);
     }
     if let Some(ms) = number("stop_notice_ms", 0, 60_000) {
         bounds.stop_notice = Duration::from_millis(ms);
--- a/reachtally-core/src/request.rs
+++ b/reachtally-core/src/request.rs
@@ -23,7 +23,7 @@
     /// deduplicate, as non-repeatable.
     pub idempotency_key: Option<String>,
     /// How long the caller is willing to wait.
-    pub patience: Duration,
+    pub request_timeout: Duration,
 }
 
 /// The work of a request.
--- a/reachtally-core/src/systems/admit.rs
+++ b/reachtally-core/src/systems/admit.rs
@@ -24,7 +24,7 @@
     let account = admission.as_ref().copied().unwrap_or_default();
     let repeatable = is_repeatable(world, &request);
     let life = Life::<Received>::default();
-    let deadline = now + request.patience;
+    let deadline = now + request.request_timeout;
     let key = world.requests.insert(Request {
         account,
         work: request.work,
--- a/reachtally-core/tests/core/claims.rs
+++ b/reachtally-core/tests/core/claims.rs
@@ -107,7 +107,7 @@
         end(&fabric, 0, key),
         Some(&End::NotRun(Refusal::ClaimUnconfirmed))
     );
-    fabric.heal_log();
+    fabric.reconnect_log();
     fabric.run_for(5 * SECOND);
     assert_eq!(runs(&fabric, "k"), 0);
     let again = fabric.ask(0, order("k"));
@@ -184,7 +184,7 @@
     let mut fabric = fabric(2);
     for instance in 0..2 {
         let url = service_url(ORDERS, instance);
-        service(&mut fabric, &url).behave(&[Behaviour::Lose]);
+        service(&mut fabric, &url).set_behaviours(&[Behaviour::Lose]);
     }
     let first = fabric.ask(0, order("k"));
     fabric.run_for(SECOND);
--- a/reachtally-core/tests/core/domains.rs
+++ b/reachtally-core/tests/core/domains.rs
@@ -90,7 +90,7 @@
     let key = fabric.ask(0, completion(5));
     fabric.run_for(5 * SECOND);
     assert_complete(&fabric, key, 5);
-    fabric.heal_log();
+    fabric.reconnect_log();
     fabric.run_for(SECOND);
     assert_eq!(offsets(&fabric), [2, 2, 2, 2, 2]);
 }
@@ -99,13 +99,13 @@
 fn daemon_far_behind_adopts_a_snapshot_of_a_peer() {
     let mut fabric = joined();
     fabric.log.cut.insert(1);
-    fabric.cut_peers.insert(1);
+    fabric.partitioned_daemons.insert(1);
     for n in 0..600 {
         new_model(&mut fabric, &format!("m{n}"));
     }
     fabric.run_for(2 * SECOND);
     assert_eq!(offsets(&fabric)[1], 1);
-    fabric.cut_peers.clear();
+    fabric.partitioned_daemons.clear();
     fabric.run_for(10 * SECOND);
     assert_eq!(offsets(&fabric)[1], 601);
     assert_eq!(fabric.nodes[1].world.config, fabric.nodes[0].world.config);
@@ -177,7 +177,7 @@
     fabric.log.down = true;
     fabric.run_for(LEASE);
     assert!(stewards(&fabric, "d1").is_empty());
-    fabric.heal_log();
+    fabric.reconnect_log();
     fabric.run_for(30 * SECOND);
     assert_eq!(stewards(&fabric, "d1").len(), 1);
 }
@@ -273,7 +273,7 @@
     declare_adapter(&mut fabric);
     fabric.run_for(5 * SECOND);
     let url = engine_url(0, 0);
-    revive(&mut fabric, &url);
+    restart_empty(&mut fabric, &url);
     assert!(!loaded(&fabric, &url));
     fabric.run_for(5 * SECOND);
     assert!(loaded(&fabric, &url));
@@ -286,7 +286,7 @@
     fabric.run_for(LEASE - LEASE_MARGIN);
     let before = fabric.orders.len();
     let url = engine_url(0, 0);
-    revive(&mut fabric, &url);
+    restart_empty(&mut fabric, &url);
     fabric.run_for(60 * SECOND);
     assert_eq!(fabric.orders.len(), before);
 }
@@ -346,7 +346,7 @@
         .find(|daemon| *daemon != steward)
         .expect("two daemons are not stewards");
     fabric.log.cut.insert(other);
-    fabric.cut_peers.insert(other);
+    fabric.partitioned_daemons.insert(other);
     stop(&mut fabric, "e10");
     fabric.run_for(15 * SECOND);
     assert!(!stopped(&fabric, &engine_url(1, 0)));
@@ -363,7 +363,7 @@
     fabric.run_for(5 * SECOND);
     // Messages sent before the cut arrive when it resumes, and prove nothing.
     fabric.log.cut.insert(0);
-    fabric.cut_peers.insert(0);
+    fabric.partitioned_daemons.insert(0);
     fabric.run_until(resume);
     let refused = fabric.ask(0, completion(2));
     assert_eq!(
--- a/reachtally-core/tests/core/membership.rs
+++ b/reachtally-core/tests/core/membership.rs
@@ -18,7 +18,7 @@
 
 fn show(fabric: &mut reachtally_standin::fabric::Fabric, boxes: &[(String, bool)]) {
     let boxes: Vec<(&str, bool)> = boxes.iter().map(|(name, l)| (name.as_str(), *l)).collect();
-    fabric.show_list(&boxes);
+    fabric.set_live_list(&boxes);
 }
 
 fn requests_at(fabric: &reachtally_standin::fabric::Fabric, url: &str) -> usize {
--- a/reachtally-core/tests/core/outcomes.rs
+++ b/reachtally-core/tests/core/outcomes.rs
@@ -71,9 +71,9 @@
             .engines
             .get_mut(&engine_url(0, replica))
             .expect("declared");
-        engine.behave(&[Behaviour::Refuse]);
+        engine.set_behaviours(&[Behaviour::Refuse]);
     }
-    behave(&mut fabric, &engine_url(0, 1), &[]);
+    set_behaviours(&mut fabric, &engine_url(0, 1), &[]);
     let key = fabric.ask(0, completion(5));
     fabric.run_for(5 * SECOND);
     assert_complete(&fabric, key, 5);
@@ -83,7 +83,7 @@
 fn deadline_during_the_run_ends_as_unknown() {
     let mut fabric = fabric(1);
     let mut ask = completion(30);
-    ask.patience = SECOND / 5;
+    ask.request_timeout = SECOND / 5;
     let key = fabric.ask(0, ask);
     fabric.run_for(SECOND);
     assert_eq!(end(&fabric, 0, key), Some(&End::Unknown(Unknown::Deadline)));
@@ -94,7 +94,7 @@
     let mut fabric = fabric(1);
     for instance in 0..2 {
         let url = service_url(LOOKUP, instance);
-        service(&mut fabric, &url).behave(&[Behaviour::Lose]);
+        service(&mut fabric, &url).set_behaviours(&[Behaviour::Lose]);
     }
     let key = fabric.ask(0, call(LOOKUP, None, "a"));
     fabric.run_for(SECOND);
@@ -117,7 +117,7 @@
     let mut fabric = fabric(1);
     for instance in 0..2 {
         let url = service_url(ORDERS, instance);
-        service(&mut fabric, &url).behave(&[Behaviour::Lose]);
+        service(&mut fabric, &url).set_behaviours(&[Behaviour::Lose]);
     }
     let key = fabric.ask(0, call(ORDERS, None, "a"));
     fabric.run_for(SECOND);
@@ -171,7 +171,7 @@
     let mut fabric = fabric(1);
     for instance in 0..2 {
         let url = service_url(LOOKUP, instance);
-        service(&mut fabric, &url).behave(&[Behaviour::Lose; 200]);
+        service(&mut fabric, &url).set_behaviours(&[Behaviour::Lose; 200]);
     }
     let asked = 50;
     for _ in 0..asked {
@@ -189,15 +189,15 @@
 fn retry_is_delayed_and_goes_to_another_instance() {
     let mut fabric = fabric(1);
     let first = service_url(LOOKUP, 0);
-    service(&mut fabric, &first).behave(&[Behaviour::Lose]);
+    service(&mut fabric, &first).set_behaviours(&[Behaviour::Lose]);
     let second = service_url(LOOKUP, 1);
-    service(&mut fabric, &second).behave(&[Behaviour::Lose]);
+    service(&mut fabric, &second).set_behaviours(&[Behaviour::Lose]);
     service(&mut fabric, &second).up = false;
     let key = fabric.ask(0, call(LOOKUP, None, "a"));
     fabric.run_for(SECOND / 200);
     assert_eq!(end(&fabric, 0, key), None);
     service(&mut fabric, &second).up = true;
-    service(&mut fabric, &second).behave(&[]);
+    service(&mut fabric, &second).set_behaviours(&[]);
     fabric.run_for(SECOND);
     assert_eq!(
         end(&fabric, 0, key),
--- a/reachtally-core/tests/core/setup.rs
+++ b/reachtally-core/tests/core/setup.rs
@@ -116,7 +116,7 @@
             max_tokens,
         }),
         idempotency_key: None,
-        patience: 60 * SECOND,
+        request_timeout: 60 * SECOND,
     }
 }
 
@@ -131,7 +131,7 @@
             body: Bytes::from(body.to_owned()),
         }),
         idempotency_key: key.map(str::to_owned),
-        patience: 60 * SECOND,
+        request_timeout: 60 * SECOND,
     }
 }
 
@@ -212,17 +212,21 @@
 }
 
 /// Restarts the engine at `url` without any state.
-pub fn revive(fabric: &mut Fabric, url: &str) {
-    fabric.engines.get_mut(url).expect("declared").revive();
+pub fn restart_empty(fabric: &mut Fabric, url: &str) {
+    fabric
+        .engines
+        .get_mut(url)
+        .expect("declared")
+        .restart_empty();
 }
 
 /// Sets the behaviour of the next answers of the engine at `url`.
-pub fn behave(fabric: &mut Fabric, url: &str, behaviours: &[Behaviour]) {
+pub fn set_behaviours(fabric: &mut Fabric, url: &str, behaviours: &[Behaviour]) {
     fabric
         .engines
         .get_mut(url)
         .expect("declared")
-        .behave(behaviours);
+        .set_behaviours(behaviours);
 }
 
 /// Returns the service instance at `url`.
--- a/reachtally-core/tests/core/stages.rs
+++ b/reachtally-core/tests/core/stages.rs
@@ -82,7 +82,7 @@
     fabric.run_for(HALF_WAY);
     let url = serving(&fabric, 1);
     let silent = [Behaviour::Silent; 4];
-    behave(&mut fabric, &url, &silent);
+    set_behaviours(&mut fabric, &url, &silent);
     fabric.run_for(5 * SECOND);
     assert_complete(&fabric, key, TOKENS);
     assert_eq!(stage_moves(&fabric), 1);
@@ -106,7 +106,7 @@
     let mut fabric = fabric(1);
     let double = [Behaviour::Double; 40];
     for engine in fabric.engines.values_mut() {
-        engine.behave(&double);
+        engine.set_behaviours(&double);
     }
     let key = fabric.ask(0, completion(TOKENS));
     fabric.run_for(5 * SECOND);
@@ -124,7 +124,7 @@
     fabric.run_for(HALF_WAY);
     let url = serving(&fabric, 2);
     let late = [Behaviour::Late(Duration::from_millis(700))];
-    behave(&mut fabric, &url, &late);
+    set_behaviours(&mut fabric, &url, &late);
     fabric.run_for(5 * SECOND);
     assert_complete(&fabric, key, TOKENS);
     assert_eq!(stage_moves(&fabric), 1);
@@ -137,7 +137,7 @@
     let key = fabric.ask(0, completion(TOKENS));
     fabric.run_for(HALF_WAY);
     let url = serving(&fabric, 0);
-    behave(&mut fabric, &url, &[Behaviour::Lose]);
+    set_behaviours(&mut fabric, &url, &[Behaviour::Lose]);
     fabric.run_for(5 * SECOND);
     assert_complete(&fabric, key, TOKENS);
     assert_eq!(stage_moves(&fabric), 1);
@@ -165,7 +165,7 @@
     let first = serving(&fabric, 1);
     kill(&mut fabric, &first);
     fabric.run_for(Duration::from_millis(100));
-    revive(&mut fabric, &first);
+    restart_empty(&mut fabric, &first);
     fabric.run_for(SECOND / 2);
     let second = serving(&fabric, 1);
     assert_ne!(first, second);
@@ -190,7 +190,7 @@
     fabric.run_for(HALF_WAY);
     for replica in 0..2 {
         let lost = [Behaviour::Lose; 20];
-        behave(&mut fabric, &engine_url(1, replica), &lost);
+        set_behaviours(&mut fabric, &engine_url(1, replica), &lost);
     }
     fabric.run_for(10 * SECOND);
     assert_eq!(
@@ -207,7 +207,7 @@
     for _ in 0..5 {
         fabric.run_for(Duration::from_millis(300));
         let url = serving(&fabric, 1);
-        behave(&mut fabric, &url, &[Behaviour::Lose]);
+        set_behaviours(&mut fabric, &url, &[Behaviour::Lose]);
     }
     fabric.run_for(10 * SECOND);
     assert_complete(&fabric, key, LONG_TOKENS);
@@ -245,7 +245,7 @@
         kill(&mut fabric, &engine_url(1, replica));
     }
     fabric.run_for(2 * SECOND);
-    revive(&mut fabric, &engine_url(1, 0));
+    restart_empty(&mut fabric, &engine_url(1, 0));
     fabric.run_for(10 * SECOND);
     let answered = &fabric.nodes[0].answered[&key];
     assert_eq!(answered.tokens.len(), TOKENS as usize, "{:?}", answered.end);
@@ -348,7 +348,7 @@
     let standby = format!("http://{standby}");
     kill(&mut fabric, &standby);
     fabric.run_for(SECOND);
-    revive(&mut fabric, &standby);
+    restart_empty(&mut fabric, &standby);
     fabric.run_for(SECOND / 2);
     let serving = format!("http://{serving}");
     kill(&mut fabric, &serving);
--- a/reachtally-daemon/src/actor.rs
+++ b/reachtally-daemon/src/actor.rs
@@ -293,7 +293,7 @@
                 to,
             } => {
                 let urls = (self.url(from), self.url(to));
-                self.performer.move_kv(request, id, to, urls);
+                self.performer.transfer_kv(request, id, to, urls);
             }
             Effect::Probe { target } => {
                 let url = self.url(target);
--- a/reachtally-daemon/src/caller/completions.rs
+++ b/reachtally-daemon/src/caller/completions.rs
@@ -90,7 +90,7 @@
         account: caller.account.name,
         work: Work::Completion(body.completion.clone()),
         idempotency_key: key.validated()?,
-        patience: shared.patience,
+        request_timeout: shared.request_timeout,
     };
     let events = response_stream::submit(shared, request).await?;
     let writer = Writer {
--- a/reachtally-daemon/src/caller/mod.rs
+++ b/reachtally-daemon/src/caller/mod.rs
@@ -30,7 +30,7 @@
     /// Maximum size of a request body, in bytes.
     pub body_bytes: u64,
     /// Timeout of a request.
-    pub patience: Duration,
+    pub request_timeout: Duration,
     /// Responses that have not been fully passed to their connection yet.
     pub open: OpenStreams,
 }
--- a/reachtally-daemon/src/caller/services.rs
+++ b/reachtally-daemon/src/caller/services.rs
@@ -67,7 +67,7 @@
         account: caller.account.name,
         work: Work::Service(call),
         idempotency_key: key,
-        patience: shared.patience,
+        request_timeout: shared.request_timeout,
     };
     let mut events = stream::submit(shared, request).await?;
     let id = events.id();
--- a/reachtally-daemon/src/operator/mod.rs
+++ b/reachtally-daemon/src/operator/mod.rs
@@ -5,7 +5,7 @@
 
 use std::time::Duration;
 
-use reachtally_command::{Command, CommandAnswer, Problem, Published, parse};
+use reachtally_command::{Command, CommandResponse, ErrorResponse, Published, parse};
 use reachtally_config::settings::{Operator, Role};
 use reachtally_core::declare::{Kind, Object};
 use reachtally_core::fold::{Config, Edit, EditChange, Operation};
@@ -45,11 +45,11 @@
 }
 
 /// An error response.
-pub type Failed = (Status, Json<Problem>);
+pub type Failed = (Status, Json<ErrorResponse>);
 
 fn failed(status: Status, message: impl Into<String>) -> Failed {
     let message = message.into();
-    (status, Json(Problem { message }))
+    (status, Json(ErrorResponse { message }))
 }
 
 #[post("/commands", data = "<text>")]
@@ -57,11 +57,11 @@
     text: &str,
     operator: Authorized,
     shared: &State<Shared>,
-) -> Result<Json<CommandAnswer>, Failed> {
+) -> Result<Json<CommandResponse>, Failed> {
     let command = parse(text).map_err(|err| failed(Status::BadRequest, err.to_string()))?;
     match command {
         Command::Show(subject) => match query(shared, Query::Show(subject)).await? {
-            Answer::Table(table) => Ok(Json(CommandAnswer::Table(table))),
+            Answer::Table(table) => Ok(Json(CommandResponse::Table(table))),
             _ => Err(failed(Status::InternalServerError, "unexpected answer")),
         },
         Command::Drain(name) => drain(shared, &operator, &name, EditChange::Drain(true)).await,
@@ -75,7 +75,7 @@
     operator: &Authorized,
     name: &str,
     change: EditChange,
-) -> Result<Json<CommandAnswer>, Failed> {
+) -> Result<Json<CommandResponse>, Failed> {
     operator.require(Role::Operate)?;
     let config = config(shared).await?;
     let kind = if config.get(Kind::Engine, name).is_some() {
@@ -95,7 +95,7 @@
         change,
     };
     let published = publish(shared, operator, vec![edit]).await?;
-    Ok(Json(CommandAnswer::Published(published)))
+    Ok(Json(CommandResponse::Published(published)))
 }
 
 #[post("/apply", data = "<objects>")]
--- a/reachtally-daemon/src/perform.rs
+++ b/reachtally-daemon/src/perform.rs
@@ -17,7 +17,7 @@
 use reachtally_log::{CLAIMS_STREAM, CONFIG_STREAM, DOMAINS_STREAM, Log, SNAPSHOTS_STREAM};
 use reachtally_protocol::{Message, link};
 use reachtally_target::http::HttpTargets;
-use reachtally_target::{Engines, KvMoves, Orders, Probe, Services};
+use reachtally_target::{Engines, KvTransfer, Orders, Probe, Services};
 use tokio::time::timeout;
 
 use crate::actor::{self, Handle};
@@ -36,7 +36,7 @@
     /// HTTP client for the platform.
     pub platform: HttpPlatform,
     /// Timeout of a service call's task. The request's deadline expires first.
-    pub patience: Duration,
+    pub request_timeout: Duration,
 }
 
 fn report(handle: &Handle, event: Event) {
@@ -86,9 +86,9 @@
         key: Option<String>,
     ) {
         let (handle, targets) = (self.handle.clone(), self.targets.clone());
-        let patience = self.patience;
+        let request_timeout = self.request_timeout;
         tokio::spawn(async move {
-            let result = timeout(patience, targets.call(&url, call, key)).await;
+            let result = timeout(request_timeout, targets.call(&url, call, key)).await;
             let result = result.unwrap_or(Err(CallFailure::Lost));
             let event = Event::ServiceCallDone {
                 request,
@@ -100,7 +100,7 @@
     }
 
     /// Transfers a request's KV cache between two engines; `urls` is `(from, to)`.
-    pub fn move_kv(
+    pub fn transfer_kv(
         &self,
         request: RequestKey,
         id: RequestId,
@@ -109,7 +109,7 @@
     ) {
         let (handle, targets) = (self.handle.clone(), self.targets.clone());
         tokio::spawn(async move {
-            let positions = targets.move_kv(&urls.0, &urls.1, id).await;
+            let positions = targets.transfer_kv(&urls.0, &urls.1, id).await;
             let event = Event::KvMoved {
                 request,
                 to,
--- a/reachtally-daemon/src/run.rs
+++ b/reachtally-daemon/src/run.rs
@@ -99,7 +99,7 @@
         handle: handle.clone(),
         targets,
         platform: platform.clone(),
-        patience: settings.patience,
+        request_timeout: settings.request_timeout,
     };
     let published = Published {
         view: view_tx,
@@ -180,7 +180,7 @@
         handle: handle.clone(),
         view: view.clone(),
         body_bytes: settings.body_bytes,
-        patience: settings.patience,
+        request_timeout: settings.request_timeout,
         open: open.clone(),
     };
     let options = Listen {
--- a/reachtally-daemon/src/standalone.rs
+++ b/reachtally-daemon/src/standalone.rs
@@ -5,7 +5,7 @@
 
 use error_stack::{Report, ResultExt};
 use reachtally_config::keys;
-use reachtally_config::settings::{BODY_BYTES, Operator, PATIENCE, Role, Settings};
+use reachtally_config::settings::{BODY_BYTES, Operator, REQUEST_TIMEOUT, Role, Settings};
 use reachtally_core::Limits;
 use reachtally_core::declare::{self, Layers, Object};
 use reachtally_core::fold::{Config, Operation};
@@ -249,7 +249,7 @@
             hash: keys::hash(OPERATOR_KEY),
         }],
         body_bytes: BODY_BYTES,
-        patience: PATIENCE,
+        request_timeout: REQUEST_TIMEOUT,
         stop_notice: Duration::ZERO,
         limits: options.limits.clone(),
     }
--- a/reachtally-listen/src/lib.rs
+++ b/reachtally-listen/src/lib.rs
@@ -97,7 +97,7 @@
     }
 
     /// Returns a handle that shuts the listener down from another task.
-    pub fn closer(&self) -> Shutdown {
+    pub fn shutdown_handle(&self) -> Shutdown {
         self.shutdown.clone()
     }
 }
--- a/reachtally-relay/src/relay.rs
+++ b/reachtally-relay/src/relay.rs
@@ -156,7 +156,7 @@
 impl Relay {
     /// Creates a relay without configuration and targets that uses the clock of the runtime.
     pub fn new(settings: Settings, wire: Box<dyn Wire>) -> Self {
-        Relay::with_clock(settings, wire, Clock::of_runtime())
+        Relay::with_clock(settings, wire, Clock::runtime_only())
     }
 
     /// Creates a relay without configuration and targets that uses `clock`.
--- a/reachtally-spec/src/claims.rs
+++ b/reachtally-spec/src/claims.rs
@@ -498,7 +498,7 @@
             body: Bytes::new(),
         }),
         idempotency_key: Some(KEY.to_owned()),
-        patience: Duration::from_secs(1 << 20),
+        request_timeout: Duration::from_secs(1 << 20),
     }
 }
 
--- a/reachtally-spec/src/lineage.rs
+++ b/reachtally-spec/src/lineage.rs
@@ -357,7 +357,7 @@
             max_tokens: MAX_TOKENS,
         }),
         idempotency_key: None,
-        patience: Duration::from_secs(1 << 20),
+        request_timeout: Duration::from_secs(1 << 20),
     }
 }
 
--- a/reachtally-standin/src/engine/server.rs
+++ b/reachtally-standin/src/engine/server.rs
@@ -61,7 +61,7 @@
 
     /// Injects a fault.
     pub fn fault(&self, fault: Fault) {
-        inject(&self.shared, &self.listener.closer(), fault);
+        inject(&self.shared, &self.listener.shutdown_handle(), fault);
     }
 
     /// Returns a copy of the ledger.
@@ -249,12 +249,12 @@
 fn order(
     order: Json<OrderBody>,
     shared: &rocket::State<Shared>,
-    closer: Shutdown,
+    shutdown_handle: Shutdown,
 ) -> Result<(), Status> {
     let result = shared.lock().order(order.into_inner());
     result.map_err(|_| Status::Conflict)?;
     if shared.lock().is_stopped() {
-        closer.notify();
+        shutdown_handle.notify();
     }
     Ok(())
 }
@@ -313,14 +313,14 @@
 }
 
 #[post("/faults", data = "<fault>")]
-fn fault(fault: Json<Fault>, shared: &rocket::State<Shared>, closer: Shutdown) {
-    inject(shared, &closer, fault.into_inner());
+fn fault(fault: Json<Fault>, shared: &rocket::State<Shared>, shutdown_handle: Shutdown) {
+    inject(shared, &shutdown_handle, fault.into_inner());
 }
 
-fn inject(shared: &Shared, closer: &Shutdown, fault: Fault) {
+fn inject(shared: &Shared, shutdown_handle: &Shutdown, fault: Fault) {
     log::info!(fault:? = fault; "fault injected");
     shared.lock().faults.set(fault);
     if fault == Fault::Die {
-        closer.clone().notify();
+        shutdown_handle.clone().notify();
     }
 }
--- a/reachtally-standin/src/fabric/domains.rs
+++ b/reachtally-standin/src/fabric/domains.rs
@@ -52,7 +52,8 @@
     /// Returns the daemon at `address`, unless a partition separates it from `from`.
     fn peer(&self, from: usize, address: &str) -> Option<usize> {
         let to: usize = address.parse().ok()?;
-        let cut = self.cut_peers.contains(&from) || self.cut_peers.contains(&to);
+        let cut =
+            self.partitioned_daemons.contains(&from) || self.partitioned_daemons.contains(&to);
         (!cut && to < self.nodes.len()).then_some(to)
     }
 
@@ -85,7 +86,7 @@
         self.schedule_event(daemon, LINK_LATENCY * 3, Event::Revalidated(nonce));
     }
 
-    pub(super) fn move_kv(
+    pub(super) fn transfer_kv(
         &mut self,
         daemon: usize,
         request: RequestKey,
--- a/reachtally-standin/src/fabric/engine.rs
+++ b/reachtally-standin/src/fabric/engine.rs
@@ -68,12 +68,12 @@
     }
 
     /// Applies one behaviour to each of the next calls, in order.
-    pub fn behave(&mut self, behaviours: &[Behaviour]) {
+    pub fn set_behaviours(&mut self, behaviours: &[Behaviour]) {
         self.behaviours = behaviours.iter().rev().copied().collect();
     }
 
     /// Restarts a crashed engine without KV.
-    pub fn revive(&mut self) {
+    pub fn restart_empty(&mut self) {
         *self = FakeEngine::new(self.options);
     }
 
--- a/reachtally-standin/src/fabric/mod.rs
+++ b/reachtally-standin/src/fabric/mod.rs
@@ -51,7 +51,7 @@
     /// The simulated log.
     pub log: FakeLog,
     /// Daemons that are partitioned from all other daemons.
-    pub cut_peers: BTreeSet<usize>,
+    pub partitioned_daemons: BTreeSet<usize>,
     /// Orders sent so far: the daemon, the URL of the engine, the fencing token and the order.
     pub orders: Vec<(usize, String, u64, Order)>,
     domains: Vec<String>,
@@ -68,7 +68,7 @@
             engines: BTreeMap::new(),
             services: BTreeMap::new(),
             log: FakeLog::default(),
-            cut_peers: BTreeSet::new(),
+            partitioned_daemons: BTreeSet::new(),
             orders: Vec::new(),
             domains: Vec::new(),
             queue: Queue::default(),
@@ -114,7 +114,7 @@
     }
 
     /// Delivers a live list of box names and leaving flags to every daemon.
-    pub fn show_list(&mut self, boxes: &[(&str, bool)]) {
+    pub fn set_live_list(&mut self, boxes: &[(&str, bool)]) {
         let statuses = boxes.iter().map(|(name, leaving)| BoxStatus {
             name: (*name).to_owned(),
             leaving: *leaving,
@@ -272,7 +272,7 @@
                 id,
                 from,
                 to,
-            } => self.move_kv(daemon, request, id, (from, to)),
+            } => self.transfer_kv(daemon, request, id, (from, to)),
             Effect::Probe { target } => {
                 let url = self.nodes[daemon].url(target);
                 let engine_up = self.engines.get(&url).is_some_and(FakeEngine::is_reachable);
@@ -341,7 +341,7 @@
     }
 
     /// Ends outages of the log and partitions from it, and delivers unread records.
-    pub fn heal_log(&mut self) {
+    pub fn reconnect_log(&mut self) {
         self.log.down = false;
         self.log.cut.clear();
         self.schedule_log_reads();
--- a/reachtally-standin/src/fabric/service.rs
+++ b/reachtally-standin/src/fabric/service.rs
@@ -34,7 +34,7 @@
 
 impl FakeService {
     /// Applies one behaviour to each of the next calls, in order.
-    pub fn behave(&mut self, behaviours: &[Behaviour]) {
+    pub fn set_behaviours(&mut self, behaviours: &[Behaviour]) {
         self.behaviours = behaviours.iter().rev().copied().collect();
     }
 
--- a/reachtally-standin/src/service.rs
+++ b/reachtally-standin/src/service.rs
@@ -60,7 +60,7 @@
 
     /// Injects a fault.
     pub fn fault(&self, fault: Fault) {
-        inject(&self.shared, &self.listener.closer(), fault);
+        inject(&self.shared, &self.listener.shutdown_handle(), fault);
     }
 
     /// Stops the server.
@@ -74,10 +74,10 @@
     }
 }
 
-fn inject(shared: &Shared, closer: &Shutdown, fault: Fault) {
+fn inject(shared: &Shared, shutdown_handle: &Shutdown, fault: Fault) {
     lock(shared).faults.set(fault);
     if fault == Fault::Die {
-        closer.clone().notify();
+        shutdown_handle.clone().notify();
     }
 }
 
@@ -104,8 +104,8 @@
 }
 
 #[post("/faults", data = "<fault>")]
-fn fault(fault: Json<Fault>, shared: &rocket::State<Shared>, closer: Shutdown) {
-    inject(shared, &closer, fault.into_inner());
+fn fault(fault: Json<Fault>, shared: &rocket::State<Shared>, shutdown_handle: Shutdown) {
+    inject(shared, &shutdown_handle, fault.into_inner());
 }
 
 #[get("/runs")]
--- a/reachtally-target/src/http.rs
+++ b/reachtally-target/src/http.rs
@@ -24,7 +24,7 @@
 
 use crate::order::{OrderBody, ReportBody};
 use crate::{
-    Engines, HEALTH_PATH, KEY_HEADER, KV_PATH, KvMoves, NOT_RUN, ORDERS_PATH, OUTCOME_HEADER,
+    Engines, HEALTH_PATH, KEY_HEADER, KV_PATH, KvTransfer, NOT_RUN, ORDERS_PATH, OUTCOME_HEADER,
     Orders, POSITIONS_HEADER, Probe, REPORT_PATH, STEPS_PATH, Services, wire,
 };
 
@@ -176,8 +176,8 @@
     }
 }
 
-impl KvMoves for HttpTargets {
-    async fn move_kv(&self, from: &str, to: &str, request: RequestId) -> Option<u32> {
+impl KvTransfer for HttpTargets {
+    async fn transfer_kv(&self, from: &str, to: &str, request: RequestId) -> Option<u32> {
         let path = format!("{KV_PATH}/{}/{}", request.incarnation.0, request.seq);
         let req = self.client.get(format!("{from}/{path}"));
         let export = req.timeout(KV_TIMEOUT).send().await.ok()?;
--- a/reachtally-target/src/lib.rs
+++ b/reachtally-target/src/lib.rs
@@ -73,10 +73,10 @@
 }
 
 /// Transfer of KV between engines.
-pub trait KvMoves {
+pub trait KvTransfer {
     /// Exports a request's KV from the engine at `from` and imports it into the engine at `to`. Returns the
     /// number of positions covered, or `None` if the transfer failed.
-    fn move_kv(
+    fn transfer_kv(
         &self,
         from: &str,
         to: &str,
--- a/reachtally/src/client.rs
+++ b/reachtally/src/client.rs
@@ -3,7 +3,7 @@
 use std::process::ExitCode;
 use std::time::Duration;
 
-use reachtally_command::{CommandAnswer, Problem, Published};
+use reachtally_command::{CommandResponse, ErrorResponse, Published};
 use reachtally_core::declare::Object;
 use reqwest::{RequestBuilder, StatusCode};
 use serde::de::DeserializeOwned;
@@ -62,7 +62,7 @@
     }
 
     /// Runs a command.
-    pub async fn command(&self, command: &str) -> Result<CommandAnswer, CliError> {
+    pub async fn command(&self, command: &str) -> Result<CommandResponse, CliError> {
         let url = format!("{}/v1/commands", self.url);
         self.call(self.http.post(url).body(command.to_owned()))
             .await
@@ -86,7 +86,7 @@
             return Err(CliError::Refused(message.to_owned()));
         }
         if !status.is_success() {
-            let error = response.json::<Problem>().await;
+            let error = response.json::<ErrorResponse>().await;
             let message = error.map_or_else(|_| status.to_string(), |error| error.message);
             return Err(CliError::Refused(message));
         }
--- a/reachtally/src/main.rs
+++ b/reachtally/src/main.rs
@@ -6,7 +6,7 @@
 use std::process::ExitCode;
 
 use bpaf::Bpaf;
-use reachtally_command::{CommandAnswer, Published};
+use reachtally_command::{CommandResponse, Published};
 use reachtally_config::{declarations, keys};
 
 use crate::client::{CliError, Client};
@@ -95,7 +95,7 @@
             let objects = declarations::parse(&name, &text)
                 .map_err(|findings| CliError::Usage(format!("bad declarations\n{findings}")))?;
             let published = client.apply(&objects).await?;
-            render(json, &CommandAnswer::Published(published))
+            render(json, &CommandResponse::Published(published))
         }
         Action::Explain { id } => {
             let log = read_log()?;
@@ -118,15 +118,15 @@
         .map_err(|err| CliError::Usage(format!("can't read the log: {err}")))
 }
 
-fn render(json: bool, answer: &CommandAnswer) -> Result<String, CliError> {
+fn render(json: bool, answer: &CommandResponse) -> Result<String, CliError> {
     if json {
         let text = serde_json::to_string_pretty(answer);
         let text = text.map_err(|err| CliError::Usage(err.to_string()))?;
         return Ok(format!("{text}\n"));
     }
     Ok(match answer {
-        CommandAnswer::Table(table) => table.to_string(),
-        CommandAnswer::Published(published) => render_published(published),
+        CommandResponse::Table(table) => table.to_string(),
+        CommandResponse::Published(published) => render_published(published),
     })
 }
 
