--- a/reachtally-core/src/forward/admission/returns.rs
+++ b/reachtally-core/src/forward/admission/returns.rs
@@ -23,7 +23,7 @@
 }
 
 impl RefusedRequests {
-    /// Records that the caller of a request was retry to retry at `at`.
+    /// Records that the caller of a request was told to retry at `at`.
     pub fn tell(&mut self, request: Fingerprint, at: Instant, now: Instant) {
         self.remove_expired(now);
         self.remove(&request);
